--- a/crates/tansylead-query/src/admission.rs
+++ b/crates/tansylead-query/src/admission.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// A bucket never holds less than one query, or no query could ever start.
-const SMALLEST_BUCKET: f64 = 1.0;
-/// Told to callers when the share is nothing at all.
+/// Smallest capacity of the bucket in queries; below one token no query could ever start.
+const MIN_CAPACITY: f64 = 1.0;
+/// `retry_after` when this root's share is zero.
 const RETRY_AFTER_WITHOUT_SHARE: Duration = Duration::from_secs(1);
-/// Longest time told to callers.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(10);
-/// Tolerance for sums of fractions.
-const ROUNDING: f64 = 1e-9;
+/// Longest `retry_after`.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
+/// Tolerance for rounding errors in sums of fractions.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// Token bucket of queries.
 #[derive(Debug, Clone)]
@@ -22,7 +22,7 @@
 }
 
 impl Admission {
-    /// No limit until a share is set.
+    /// A bucket that admits everything until a share is set.
     pub(crate) fn unlimited() -> Self {
         let share = RateShare {
             queries_per_second: f64::INFINITY,
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Sets the share. The first share starts with a full bucket; a later one keeps its fill.
+    /// Sets the share. The first share starts with a full bucket; a later one keeps the tokens that
+    /// fit into the new capacity.
     pub(crate) fn set_share(&mut self, now: Moment, share: RateShare) {
         let was_unlimited = self.is_unlimited();
         self.refill(now);
@@ -49,7 +50,7 @@
         self.updated = now;
     }
 
-    /// Admits a query, or says when a token will be there.
+    /// Admits a query, or returns the time until a token is available.
     pub(crate) fn admit(&mut self, now: Moment) -> Result<(), Duration> {
         if self.is_unlimited() {
             return Ok(());
@@ -59,13 +60,13 @@
             return Err(RETRY_AFTER_WITHOUT_SHARE);
         }
         self.refill(now);
-        if self.tokens + ROUNDING >= 1.0 {
+        if self.tokens + ROUNDING_TOLERANCE >= 1.0 {
             self.tokens = (self.tokens - 1.0).max(0.0);
             return Ok(());
         }
         let seconds = (1.0 - self.tokens) / rate;
         Err(Duration::from_secs_f64(
-            seconds.min(LONGEST_RETRY_AFTER.as_secs_f64()),
+            seconds.min(MAX_RETRY_AFTER.as_secs_f64()),
         ))
     }
 
@@ -78,7 +79,7 @@
         if rate == 0.0 {
             return 0.0;
         }
-        (rate * self.share.burst.as_secs_f64()).max(SMALLEST_BUCKET)
+        (rate * self.share.burst.as_secs_f64()).max(MIN_CAPACITY)
     }
 
     fn refill(&mut self, now: Moment) {
--- a/crates/tansylead-query/src/backoff.rs
+++ b/crates/tansylead-query/src/backoff.rs
@@ -1,5 +1,6 @@
-//! Backoff before a shard is asked again where it failed or was refused before. The retry has been
-//! paid for from the budget, so it will go out: no query is held open without work to do.
+//! Backoff before a shard is sent again to a replica that failed or refused it. The retry budget is
+//! charged before the backoff, so the retry is certain to be sent: no query stays open with nothing
+//! left to do.
 
 use crate::context::Context;
 use crate::query::Query;
@@ -8,18 +9,19 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// The backoff is the time left divided by this: long deadlines outlast the restart of a leaf.
+/// The backoff is the time left divided by this: long deadlines
+/// outlast the restart of a leaf.
 const TIME_LEFT_DIVISOR: u32 = 8;
 /// Longest backoff.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Shortest backoff; with less time left a shard is given up.
-const SHORTEST_BACKOFF: Duration = Duration::from_millis(1);
+const MIN_BACKOFF: Duration = Duration::from_millis(1);
 
 impl Query {
     /// When a retry of the shard may go out; none if it would come too late.
     pub(crate) fn retry_at(&self, now: Moment) -> Option<Moment> {
         let backoff = self.deadline.since(now) / TIME_LEFT_DIVISOR;
-        let at = now + backoff.clamp(SHORTEST_BACKOFF, LONGEST_BACKOFF);
+        let at = now + backoff.clamp(MIN_BACKOFF, MAX_BACKOFF);
         (at < self.deadline).then_some(at)
     }
 
--- a/crates/tansylead-query/src/counters.rs
+++ b/crates/tansylead-query/src/counters.rs
@@ -9,11 +9,11 @@
     pub queries_complete: u64,
     /// Queries that ended partial.
     pub queries_partial: u64,
-    /// Queries refused or given up without any leaf having run anything.
+    /// Queries refused or given up that certainly ran on no leaf.
     pub queries_not_run: u64,
-    /// Queries that may have run without a known result.
+    /// Queries that may have run but whose result is unknown.
     pub queries_unknown: u64,
-    /// Queries whose caller went away.
+    /// Queries whose caller disconnected.
     pub queries_abandoned: u64,
     /// Queries refused by the rate limit (part of `queries_not_run`).
     pub refused_rate: u64,
@@ -21,17 +21,17 @@
     pub refused_capacity: u64,
     /// First attempts of a shard.
     pub attempts_first: u64,
-    /// Hedges.
+    /// Hedged attempts.
     pub attempts_hedge: u64,
-    /// Attempts after one that may have run or was shed; paid from the retry budget.
+    /// Attempts after one that may have run or was shed; charged to the retry budget.
     pub attempts_retry: u64,
     /// Attempts on another replica after one that certainly did not run.
     pub attempts_redirect: u64,
-    /// First attempts of a shard after the query started over on another snapshot.
+    /// First attempts of a shard after the query restarted on another snapshot.
     pub attempts_restart: u64,
     /// Attempts cancelled.
     pub attempts_cancelled: u64,
-    /// Queries that started over on another snapshot.
+    /// Queries that restarted on another snapshot.
     pub restarts: u64,
     /// Extra attempts not made because the retry budget was empty.
     pub budget_exhausted: u64,
@@ -51,12 +51,12 @@
     pub refused_expired: u64,
     /// Attempts that failed after bytes may have left.
     pub attempts_failed: u64,
-    /// Attempts that were never sent.
+    /// Attempts of which nothing was sent.
     pub attempts_not_sent: u64,
     /// Ejections of leafs.
     pub ejections: u64,
     /// Times a leaf was found to be leaving.
     pub leafs_leaving: u64,
-    /// Queries started under an id that was in use; ignored.
+    /// Queries ignored because their id was already in use.
     pub duplicate_query_ids: u64,
 }
--- a/crates/tansylead-query/src/event.rs
+++ b/crates/tansylead-query/src/event.rs
@@ -1,5 +1,4 @@
-//! What goes into the root engine and what comes out of it. The daemon, the simulation and the
-//! fuzzers speak only these.
+//! Input and output of the root engine. The daemon, the simulation and the fuzzers use nothing else.
 
 use std::time::Duration;
 use tansylead_types::leaf::{LeafAnswer, LeafHealth, LeafRefusal};
@@ -7,12 +6,13 @@
     AttemptId, LeafId, Moment, QueryAnswer, QueryId, QueryRequest, ShardId, SnapshotVersion,
 };
 
-/// A query handed to the engine. Claims for non-repeatable requests are settled before this.
+/// A query handed to the engine. The idempotency key of a non-repeatable request has been
+/// claimed before.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StartQuery {
-    /// Chosen by the caller of the engine, never reused.
+    /// Unique id, chosen by the caller of the engine and never reused.
     pub query: QueryId,
-    /// The request.
+    /// The request to run.
     pub request: QueryRequest,
     /// When the caller must have its answer.
     pub deadline: Moment,
@@ -21,7 +21,7 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptResult {
-    /// The leaf answered. The engine still matches every echoed field.
+    /// The leaf answered. The engine itself checks every echoed field.
     Answered(LeafAnswer),
     /// The leaf refused before running.
     Refused(LeafRefusal),
@@ -30,53 +30,53 @@
     /// Nothing was handed to any connection, because the deadline or the expiry of the request had
     /// passed right before the send. Says nothing about the leaf.
     Expired,
-    /// The attempt failed after bytes may have left; the leaf may have run it.
+    /// The attempt failed after bytes may have been sent; the leaf may have run it.
     Failed,
 }
 
 /// Input of the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RootEvent {
-    /// Begin a query.
+    /// Start a query.
     Start(Box<StartQuery>),
     /// An attempt ended. Late, duplicate and unknown ones are discarded and counted.
     AttemptEnded {
-        /// Query the transport believes it belongs to.
+        /// Query that the transport attributes it to.
         query: QueryId,
-        /// Attempt the transport believes it is.
+        /// Attempt that the transport attributes it to.
         attempt: AttemptId,
         /// How it ended.
         result: AttemptResult,
     },
     /// A polled health report; none if the poll failed.
     LeafHealth {
-        /// Which leaf.
+        /// Polled leaf.
         leaf: LeafId,
-        /// What it said.
+        /// Its report.
         report: Option<LeafHealth>,
     },
-    /// The machine list or a peer says that the leaf is leaving.
+    /// The machine list or a peer reports that the leaf is leaving.
     LeafLeaving(LeafId),
-    /// The caller went away: cancel what is in flight, no answer is needed.
+    /// The caller disconnected: cancel what is in flight; no answer is needed.
     CallerGone(QueryId),
-    /// The moment returned by `next_wakeup` has come.
+    /// The time returned by `next_wakeup` has been reached.
     Wakeup,
 }
 
 /// One attempt to send. Every field goes into the leaf request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SendAttempt {
-    /// Query.
+    /// Query that the attempt belongs to.
     pub query: QueryId,
-    /// Attempt.
+    /// Id of the attempt, unique within the query.
     pub attempt: AttemptId,
-    /// Target.
+    /// Leaf to send it to.
     pub leaf: LeafId,
-    /// Shard asked.
+    /// Shard to query.
     pub shard: ShardId,
-    /// Pinned snapshot.
+    /// Snapshot that the query is pinned to.
     pub snapshot: SnapshotVersion,
-    /// Attempt ends no later than this.
+    /// The attempt must end no later than this.
     pub deadline: Moment,
 }
 
@@ -85,27 +85,27 @@
 pub enum RootAction {
     /// Send this attempt now.
     Send(SendAttempt),
-    /// Abandon the attempt: drop its connection so that no bytes reach another request.
+    /// Cancel the attempt: drop its connection so that none of its bytes reach another request.
     Cancel {
-        /// Query.
+        /// Query that the attempt belongs to.
         query: QueryId,
-        /// Attempt.
+        /// Attempt to cancel.
         attempt: AttemptId,
     },
     /// The query is over; exactly one for each `Start` (none after `CallerGone`).
     Finish {
-        /// Query.
+        /// Query that is over.
         query: QueryId,
         /// Its answer.
         answer: QueryAnswer,
     },
 }
 
-/// Admission: how many queries per second this root may start, and for how much of a burst.
+/// This root's share of the rate limit: the queries per second it may start, and the burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateShare {
     /// Queries per second; infinite when the table has no limit.
     pub queries_per_second: f64,
-    /// Length of the burst allowance.
+    /// Burst allowance: queries of this much time at the full rate.
     pub burst: Duration,
 }
--- a/crates/tansylead-query/src/finish.rs
+++ b/crates/tansylead-query/src/finish.rs
@@ -1,5 +1,4 @@
-//! The final answer of a query: outcome, true coverage against the pinned snapshot, and when to
-//! come back.
+//! The final answer of a query: outcome, actual coverage of the pinned snapshot, and `retry_after`.
 
 use crate::context::Context;
 use crate::event::{RootAction, StartQuery};
@@ -10,13 +9,13 @@
     Coverage, MissingReason, MissingShard, Moment, Outcome, QueryAnswer, ShardResult,
 };
 
-/// When to come back if nothing better is known.
+/// Least `retry_after`.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// When to come back if configuration or leafs must change first.
+/// Least `retry_after` if the configuration or the leafs must change first.
 pub(crate) const RETRY_AFTER_WITHOUT_REPLICAS: Duration = Duration::from_secs(1);
 
 impl Query {
-    /// Ends the query: abandons what is in flight and makes the answer.
+    /// Ends the query: cancels what is in flight and builds the answer.
     pub(crate) fn finish(mut self, now: Moment, context: &mut Context) -> RootAction {
         self.cancel_timers(context);
         self.cancel_everything(now, context);
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Whether some attempt was sent that is not known to have been left undone.
+    /// Whether any attempt was sent that did not certainly end without running.
     fn may_have_run(&self) -> bool {
         self.attempts.len() > self.certainly_not_run as usize
     }
@@ -109,7 +108,7 @@
     }
 }
 
-/// The answer to a query that is refused before a snapshot was pinned.
+/// The answer to a query that is refused before a snapshot is pinned.
 pub(crate) fn refuse(
     context: &mut Context,
     start: StartQuery,
--- a/crates/tansylead-query/src/hedge.rs
+++ b/crates/tansylead-query/src/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedges: a second attempt of a slow shard on another replica that has room, paid from the retry
+//! Hedging: a second attempt for a slow shard on another replica that has room, charged to the retry
 //! budget. Only repeatable queries are hedged, each attempt at most once.
 
 use crate::context::Context;
@@ -10,16 +10,16 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// A slow shard that could not be hedged, for lack of room or budget, is looked at again after this
-/// part of the learned delay.
+/// A slow shard that could not be hedged, for lack of room or budget, is checked again after the
+/// learned delay divided by this.
 const RECHECK_DIVISOR: u32 = 20;
-/// It is not looked at again before this time.
-const SHORTEST_RECHECK: Duration = Duration::from_millis(5);
-/// Before a delay has been learned, a hedge goes out after this part of the time left.
-const UNLEARNED_DIVISOR: u32 = 2;
+/// Shortest time before it is checked again.
+const MIN_RECHECK: Duration = Duration::from_millis(5);
+/// Until a delay has been learned, the hedge is sent after the time left divided by this.
+const TIME_LEFT_DIVISOR_WITHOUT_DELAY: u32 = 2;
 
 impl Query {
-    /// Schedules the next look for slow attempts, unless one is scheduled.
+    /// Schedules the next check for slow attempts, unless one is scheduled.
     pub(crate) fn schedule_hedges(&mut self, now: Moment, context: &mut Context) {
         let enabled = context.tuning.hedging && self.request.is_repeatable();
         if !enabled || self.hedge_timer.is_some() {
@@ -27,11 +27,11 @@
         }
         let delay = context.hedge_delay.delay(now);
         let unhedged = self.shards.iter().filter(|shard| is_hedgeable(shard));
-        let Some(earliest) = unhedged.map(|shard| self.hedge_at(shard, delay)).min() else {
+        let Some(earliest) = unhedged.map(|shard| self.hedge_due_at(shard, delay)).min() else {
             return;
         };
         let at = if earliest <= now {
-            now + (delay.unwrap_or_default() / RECHECK_DIVISOR).max(SHORTEST_RECHECK)
+            now + (delay.unwrap_or_default() / RECHECK_DIVISOR).max(MIN_RECHECK)
         } else {
             earliest
         };
@@ -50,7 +50,7 @@
         let delay = context.hedge_delay.delay(now);
         for position in 0..self.shards.len() {
             let shard = &self.shards[position];
-            if is_hedgeable(shard) && self.hedge_at(shard, delay) <= now {
+            if is_hedgeable(shard) && self.hedge_due_at(shard, delay) <= now {
                 self.hedge(now, context, position);
             }
         }
@@ -77,9 +77,9 @@
         }
     }
 
-    fn hedge_at(&self, shard: &ShardProgress, delay: Option<Duration>) -> Moment {
+    fn hedge_due_at(&self, shard: &ShardProgress, delay: Option<Duration>) -> Moment {
         let time_left = self.deadline.since(shard.sent_at);
-        let delay = delay.unwrap_or(time_left / UNLEARNED_DIVISOR);
+        let delay = delay.unwrap_or(time_left / TIME_LEFT_DIVISOR_WITHOUT_DELAY);
         shard.sent_at + delay
     }
 }
--- a/crates/tansylead-query/src/hedge_delay.rs
+++ b/crates/tansylead-query/src/hedge_delay.rs
@@ -1,26 +1,26 @@
 //! The learned delay after which an attempt counts as slow: a quantile of recent latencies.
 //!
-//! Two histograms cover overlapping windows: every sample goes into both, and each half window
-//! the older one is emptied. The quantile comes from the older one, which always holds between
+//! Two histograms cover overlapping windows: every sample goes into both, and every half window
+//! the older one is cleared and becomes the newer one. The quantile comes from the older one, which always holds between
 //! half a window and a whole window of samples.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
 use tansylead_types::Moment;
 
-const SHORTEST_LATENCY_MICROS: u64 = 1;
-const LONGEST_LATENCY_MICROS: u64 = 60_000_000;
+const MIN_LATENCY_MICROS: u64 = 1;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 /// Half of the window over which latencies are learned.
 const HALF_WINDOW: Duration = Duration::from_secs(5);
-/// The quantile is computed again after this time.
+/// The computed quantile is cached for this time.
 const QUANTILE_LIFETIME: Duration = Duration::from_millis(50);
-/// Below this number of samples nothing has been learned.
-const MINIMUM_SAMPLES: u64 = 50;
-/// A hedge never goes out sooner.
-const SHORTEST_DELAY: Duration = Duration::from_millis(1);
+/// Number of samples below which there is no learned delay.
+const MIN_SAMPLES: u64 = 50;
+/// A hedge is never sent sooner.
+const MIN_DELAY: Duration = Duration::from_millis(1);
 
-/// Learns the latency of attempts.
+/// Latencies of recent attempts and the delay learned from them.
 #[derive(Debug, Clone)]
 pub(crate) struct HedgeDelay {
     older: Histogram<u64>,
@@ -37,7 +37,7 @@
 }
 
 impl HedgeDelay {
-    /// Nothing learned yet.
+    /// No latencies recorded yet.
     pub(crate) fn new() -> Self {
         Self {
             older: empty_histogram(),
@@ -54,15 +54,15 @@
         self.computed = None;
     }
 
-    /// Notes how long an attempt took, or how long it had taken when it was cancelled.
+    /// Records how long an attempt took, or how long it had taken when it was cancelled.
     pub(crate) fn record(&mut self, now: Moment, latency: Duration) {
         self.rotate(now);
-        let micros = u64::try_from(latency.as_micros()).unwrap_or(LONGEST_LATENCY_MICROS);
+        let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_MICROS);
         self.older.saturating_record(micros);
         self.newer.saturating_record(micros);
     }
 
-    /// The delay, or none while too little has been seen.
+    /// The delay, or none while there are too few samples.
     pub(crate) fn delay(&mut self, now: Moment) -> Option<Duration> {
         if let Some(computed) = self.computed
             && now.since(computed.at) < QUANTILE_LIFETIME
@@ -75,17 +75,17 @@
         delay
     }
 
-    /// The delay as it was computed last.
+    /// The delay that was computed last.
     pub(crate) fn last_delay(&self) -> Option<Duration> {
         self.computed?.delay
     }
 
     fn compute(&self) -> Option<Duration> {
-        if self.older.len() < MINIMUM_SAMPLES {
+        if self.older.len() < MIN_SAMPLES {
             return None;
         }
         let micros = self.older.value_at_quantile(self.quantile);
-        Some(Duration::from_micros(micros).max(SHORTEST_DELAY))
+        Some(Duration::from_micros(micros).max(MIN_DELAY))
     }
 
     fn rotate(&mut self, now: Moment) {
@@ -103,10 +103,6 @@
 }
 
 fn empty_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(
-        SHORTEST_LATENCY_MICROS,
-        LONGEST_LATENCY_MICROS,
-        SIGNIFICANT_DIGITS,
-    )
-    .expect("constant bounds are valid")
+    Histogram::new_with_bounds(MIN_LATENCY_MICROS, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
+        .expect("constant bounds are valid")
 }
--- a/crates/tansylead-query/src/latency_average.rs
+++ b/crates/tansylead-query/src/latency_average.rs
@@ -1,6 +1,6 @@
 //! Exponentially weighted moving average of one leaf's latency.
 //!
-//! The average is forgotten when no sample has come for [`LIFETIME`]: a leaf that is avoided for
+//! The average expires when there has been no sample for [`LIFETIME`]: a leaf that is avoided for
 //! its latency gets no samples, and would be avoided for ever.
 
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 /// Weight of a new sample.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// An average without new samples is believed for this time.
+/// An average without new samples is used for this time.
 const LIFETIME: Duration = Duration::from_secs(5);
 
 /// Average latency of one leaf.
@@ -20,10 +20,10 @@
 }
 
 impl LatencyAverage {
-    /// Notes a whole attempt.
+    /// Records the latency of an attempt that ended.
     pub(crate) fn record(&mut self, now: Moment, latency: Duration) {
         let sample = latency.as_secs_f64();
-        if self.is_forgotten(now) {
+        if self.is_expired(now) {
             self.samples = 0;
         }
         self.sampled_at = now;
@@ -35,24 +35,24 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// Notes an attempt that was cancelled: it would have taken at least this long.
+    /// Records an attempt that was cancelled or failed: its latency is at least the elapsed time.
     pub(crate) fn record_at_least(&mut self, now: Moment, elapsed: Duration) {
-        if self.is_forgotten(now) || elapsed.as_secs_f64() > self.seconds {
+        if self.is_expired(now) || elapsed.as_secs_f64() > self.seconds {
             self.record(now, elapsed);
         }
     }
 
-    /// The average; none before the first sample and after a long time without samples.
+    /// The average; none before the first sample and after it has expired.
     pub(crate) fn average(&self, now: Moment) -> Option<Duration> {
-        (!self.is_forgotten(now)).then(|| Duration::from_secs_f64(self.seconds))
+        (!self.is_expired(now)).then(|| Duration::from_secs_f64(self.seconds))
     }
 
-    /// Samples in the average.
+    /// Number of samples in the average.
     pub(crate) fn samples(&self) -> u32 {
         self.samples
     }
 
-    fn is_forgotten(&self, now: Moment) -> bool {
+    fn is_expired(&self, now: Moment) -> bool {
         self.samples == 0 || now.since(self.sampled_at) >= LIFETIME
     }
 }
--- a/crates/tansylead-query/src/query.rs
+++ b/crates/tansylead-query/src/query.rs
@@ -1,6 +1,6 @@
 //! One query in progress: the pinned snapshot, the progress of every addressed shard and all
-//! attempts. Dispatch, attempt ends, hedges, restarts and the final answer are in modules of
-//! their own, each an `impl Query`.
+//! attempts. Dispatch, attempt ends, hedges, restarts and the final answer each have their own module
+//! with an `impl Query`.
 //!
 //! Invariants: results and coverage belong to the pinned snapshot only; a shard is answered at
 //! most once; an attempt of a non-repeatable query is followed by another for the same shard only
@@ -25,7 +25,7 @@
     Running,
     /// Its end was reported.
     Ended,
-    /// Abandoned.
+    /// Cancelled before its end was reported.
     Cancelled,
 }
 
@@ -34,53 +34,53 @@
 pub(crate) struct Attempt {
     /// Position of the shard in the query.
     pub(crate) position: usize,
-    /// Leaf asked.
+    /// Leaf it was sent to.
     pub(crate) leaf: LeafIndex,
     /// When it was sent.
     pub(crate) sent_at: Moment,
-    /// State.
+    /// Whether it is in flight, ended or cancelled.
     pub(crate) state: AttemptState,
 }
 
 /// One query in progress.
 #[derive(Debug)]
 pub(crate) struct Query {
-    /// Id.
+    /// Id, unique within the engine.
     pub(crate) id: QueryId,
-    /// Request.
+    /// The caller's request.
     pub(crate) request: QueryRequest,
     /// When the caller must have its answer.
     pub(crate) deadline: Moment,
-    /// From when a partial answer may be given early.
+    /// When a partial answer is first allowed before the deadline.
     pub(crate) early_partial_at: Option<Moment>,
-    /// Least share of shards for an early partial answer.
+    /// Least fraction of shards answered for an early partial answer.
     pub(crate) minimum_coverage: f64,
-    /// Pinned snapshot.
+    /// Snapshot that the query is pinned to.
     pub(crate) snapshot: Arc<PinnedSnapshot>,
     /// Addressed shards in order of name.
     pub(crate) shards: Vec<ShardProgress>,
-    /// Attempts; the attempt id is the position.
+    /// Attempts, indexed by attempt id.
     pub(crate) attempts: Vec<Attempt>,
-    /// Shards that are not settled.
+    /// Number of shards neither answered nor given up.
     pub(crate) unsettled: usize,
-    /// Shards answered.
+    /// Number of shards answered.
     pub(crate) answered: usize,
-    /// Attempts that certainly did not run.
+    /// Number of attempts that certainly did not run.
     pub(crate) certainly_not_run: u32,
-    /// Whether an attempt may have run without a known result.
+    /// Whether an attempt may have run and its result is unknown.
     pub(crate) result_unknown: bool,
-    /// Snapshots this query was pinned to, the present one last.
+    /// Snapshots that the query has been pinned to, the current one last.
     pub(crate) pinned_versions: Vec<SnapshotVersion>,
     /// Whether a shard lost its last replica since the snapshot was pinned.
     pub(crate) snapshot_lost: bool,
-    /// When the next look for slow attempts is due.
+    /// When the next check for slow attempts is due.
     pub(crate) hedge_timer: Option<Moment>,
-    /// Longest time a leaf asked to wait.
+    /// Longest `retry_after` that a leaf requested.
     pub(crate) retry_hint: Option<Duration>,
 }
 
 impl Query {
-    /// A query pinned to a snapshot, nothing sent yet.
+    /// A query pinned to a snapshot, with nothing sent yet.
     pub(crate) fn new(
         now: Moment,
         start: StartQuery,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Schedules the deadline and the early answer.
+    /// Schedules the deadline and the early partial answer.
     pub(crate) fn schedule_timers(&self, context: &mut Context) {
         context.timers.schedule_deadline(self.deadline, self.id);
         if let Some(at) = self.early_partial_at {
@@ -138,7 +138,7 @@
         &self.snapshot.shards[self.shards[position].entry]
     }
 
-    /// Abandons every attempt and every wait; timers stay.
+    /// Cancels every attempt, wait and backoff; the other timers stay.
     pub(crate) fn cancel_everything(&mut self, now: Moment, context: &mut Context) {
         for attempt in 0..self.attempts.len() {
             self.cancel_attempt(now, context, attempt);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Settles a shard.
+    /// Marks a shard as answered or given up.
     pub(crate) fn settle(&mut self, position: usize, phase: ShardPhase) {
         let shard = &mut self.shards[position];
         debug_assert!(!shard.is_settled(), "a shard is settled once");
--- a/crates/tansylead-query/src/timers.rs
+++ b/crates/tansylead-query/src/timers.rs
@@ -1,25 +1,25 @@
-//! Timers of the engine in order of time. Several timers may be due at the same moment.
+//! Timers of the engine in order of time. Several timers may be due at the same time.
 //!
-//! Deadlines stand apart: they only end queries, and are fired before an event is handled, while
-//! all other timers may send attempts and are fired after it.
+//! Query deadlines are kept apart: they only end queries and are fired before an event is handled,
+//! while all other timers may send attempts and are fired after it.
 
 use std::collections::BTreeSet;
 use tansylead_types::{AttemptId, Moment, QueryId};
 
 use crate::leaf_table::LeafIndex;
 
-/// What has to happen when a timer is due.
+/// What to do when a timer is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The moment from which a query may answer partially.
+    /// Check whether a query may answer partially from now on.
     EarlyPartial(QueryId),
-    /// Look for slow attempts of a query.
+    /// Check a query for slow attempts.
     Hedge(QueryId),
-    /// The backoff of a shard, by its position in the query, has passed.
+    /// Dispatch a shard, by its position in the query, after its backoff.
     Retry(QueryId, usize),
-    /// A cancelled attempt no longer counts as running.
+    /// Free the slot of a cancelled attempt.
     CancelledSlot(QueryId, AttemptId),
-    /// A pause or an ejection of a leaf has ended.
+    /// End a pause or an ejection of a leaf.
     Leaf(LeafIndex),
 }
 
@@ -61,7 +61,7 @@
         pop_due(&mut self.queue, now)
     }
 
-    /// Moment of the earliest deadline or timer.
+    /// Time of the earliest deadline or timer.
     pub(crate) fn next(&self) -> Option<Moment> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let timer = self.queue.first().map(|(at, _)| *at);
--- a/crates/tansylead-query/src/tuning.rs
+++ b/crates/tansylead-query/src/tuning.rs
@@ -1,4 +1,4 @@
-//! Tuning of one engine: which mechanisms are on, and the sizes they work with.
+//! Tuning of one engine: which mechanisms are enabled, and their parameters.
 //!
 //! Operators set the policy of a service in its definition; these values are the same for every
 //! service and are varied only by experiments, which compare variants.
@@ -14,7 +14,7 @@
     Random,
 }
 
-/// Mechanisms and sizes of one engine.
+/// Enabled mechanisms and their parameters for one engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineTuning {
     /// How a replica is picked.
@@ -29,15 +29,15 @@
     pub slow_start: bool,
     /// Whether the concurrency of a leaf that sheds load is lowered below its slots.
     pub adaptive_limit: bool,
-    /// Whether a repeatable query may start over on another snapshot.
+    /// Whether a repeatable query may restart on another snapshot.
     pub restarts: bool,
-    /// Extra attempts that may be made before any first attempt has paid for them.
+    /// Capacity of the retry budget, and the extra attempts it allows before any first attempt.
     pub retry_budget_burst: u32,
-    /// Most attempts for one shard on one pinned snapshot.
+    /// Maximum number of attempts for one shard on one pinned snapshot.
     pub maximum_attempts_per_shard: u32,
-    /// Most times a query starts over on another snapshot.
+    /// Maximum number of times a query restarts on another snapshot.
     pub maximum_restarts: u32,
-    /// Bound of the waiting queue: shards that wait for a slot, for each slot of the leafs.
+    /// Bound on the shards that wait for a slot, per slot of the leafs.
     pub waiting_shards_per_slot: u32,
     /// A cancelled attempt counts as running on its leaf until its end is reported, but no
     /// longer than this.
@@ -64,8 +64,8 @@
 }
 
 impl EngineTuning {
-    /// The plain engine that experiments compare against: random choice and a deadline, nothing
-    /// else. Everything that makes answers true stays on.
+    /// The baseline that experiments compare against: random replica choice and a deadline, nothing
+    /// else. Everything that correct answers depend on stays enabled.
     pub fn baseline() -> Self {
         Self {
             replica_choice: ReplicaChoice::Random,
