--- a/crates/tansylead-query/src/concurrency_limit.rs
+++ b/crates/tansylead-query/src/concurrency_limit.rs
@@ -60,7 +60,7 @@
         self.paused_until = None;
     }
 
-    /// Fraction of the slots that slow start allows: from one slot to all of them.
+    /// Fraction of the slots that slow start allows, from just above 0 (one slot) to 1 (all).
     pub(crate) fn slow_start_progress(&self, now: Moment) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
--- a/crates/tansylead-query/tests/engine/builders.rs
+++ b/crates/tansylead-query/tests/engine/builders.rs
@@ -1,4 +1,4 @@
-//! Names, configurations, requests and leaf replies for tests.
+//! Builders of names, configurations, requests and leaf replies for tests.
 
 use std::time::Duration;
 use tansylead_query::SendAttempt;
@@ -28,7 +28,7 @@
 }
 
 /// A snapshot whose shard `i` is called `p{count}-{i}` and held by leafs `i` and `i + 1` (mod
-/// `leafs`), so that another count is a repartition.
+/// `leafs`). Another `count` gives other shard names, as a repartition does.
 pub fn snapshot(version: u64, count: usize, leafs: usize) -> Snapshot {
     let shard = |position: usize| ShardReplicas {
         shard: ShardId::new(format!("p{count}-{position}")).unwrap(),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Callers choose their ids, and different callers choose the same ones.
+/// Request ids are chosen by callers and not unique: different queries share one here.
 pub fn request_id(query: QueryId) -> RequestId {
     RequestId::new(format!("request-{}", query.0 % 2)).unwrap()
 }
@@ -85,7 +85,7 @@
     start
 }
 
-/// What a leaf returns for an attempt; the oracle recognises whose data it is.
+/// Result of a leaf for an attempt; names the query, shard and snapshot, which the oracle checks.
 pub fn content(query: QueryId, shard: &ShardId, snapshot: SnapshotVersion) -> String {
     format!("\"{} {shard} {snapshot}\"", query.0)
 }
--- a/crates/tansylead-query/tests/engine/fuzz.rs
+++ b/crates/tansylead-query/tests/engine/fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzz of the engine. `FUZZ_SEED` and `FUZZ_CASES` run other and longer series.
+//! Stateful fuzz test of the engine. `FUZZ_SEED` and `FUZZ_CASES` set the seed and the number of cases.
 
 use crate::builders::{descriptor, snapshot};
 use crate::transitions::{LEAFS, Script, Step, apply};
@@ -12,11 +12,11 @@
 
 const DEFAULT_SEED: u64 = 7;
 const DEFAULT_CASES: u32 = 150;
-/// Small, so that the budget is often empty.
+/// Small, so that the retry budget is often empty.
 const SMALL_BURST: u32 = 2;
 const STEPS: std::ops::Range<usize> = 1..150;
-/// After the steps every query must end within this time.
-const LONGEST_QUERY: Duration = Duration::from_secs(1);
+/// Every query must end within this time after the last step.
+const MAX_QUERY_DURATION: Duration = Duration::from_secs(1);
 
 /// One series of random cases.
 #[derive(Debug, Clone)]
@@ -24,15 +24,15 @@
     pub tuning: EngineTuning,
     pub policy: ServicePolicy,
     pub tampering: Tampering,
-    /// Only violations that contain this text count.
-    pub wanted: &'static str,
+    /// Only violations that contain this text count; all if empty.
+    pub expected_violation: &'static str,
     /// Shrink iterations after a failure.
-    pub shrinks: u32,
+    pub shrink_iterations: u32,
 }
 
 impl Series {
-    /// The engine as it is, with these mechanisms and this policy.
-    pub fn honest(tuning: EngineTuning, policy: ServicePolicy) -> Self {
+    /// A series without tampering, with these mechanisms and this policy.
+    pub fn untampered(tuning: EngineTuning, policy: ServicePolicy) -> Self {
         let retry_budget_burst = SMALL_BURST;
         Self {
             tuning: EngineTuning {
@@ -41,8 +41,8 @@
             },
             policy,
             tampering: Tampering::none(),
-            wanted: "",
-            shrinks: 2_000,
+            expected_violation: "",
+            shrink_iterations: 2_000,
         }
     }
 
@@ -52,13 +52,13 @@
             cases: from_environment("FUZZ_CASES").unwrap_or(DEFAULT_CASES),
             rng_seed: RngSeed::Fixed(from_environment("FUZZ_SEED").unwrap_or(DEFAULT_SEED)),
             failure_persistence: None,
-            max_shrink_iters: self.shrinks,
+            max_shrink_iters: self.shrink_iterations,
             ..Config::default()
         };
         let strategy = Script::sequential_strategy(STEPS);
         let outcome = TestRunner::new(config).run(&strategy, |(_, steps, seen)| {
-            // The counter serves shrinking only, and must not move when nothing shrinks.
-            let seen = seen.filter(|_| self.shrinks > 0);
+            // The counter is used for shrinking only, and must stay unused when shrinking is off.
+            let seen = seen.filter(|_| self.shrink_iterations > 0);
             let outcome = self.run_steps(&steps, seen.as_deref());
             outcome.map_err(TestCaseError::fail)
         });
@@ -74,9 +74,9 @@
             apply(&mut world, step);
             self.first_violation(&world)?;
         }
-        world.advance(LONGEST_QUERY);
+        world.advance(MAX_QUERY_DURATION);
         self.first_violation(&world)?;
-        nothing_left_behind(&world)
+        check_nothing_left(&world)
     }
 
     fn world(&self) -> World {
@@ -88,22 +88,22 @@
 
     fn first_violation(&self, world: &World) -> Result<(), String> {
         let mut violations = world.oracle.violations.iter();
-        let violation = violations.find(|violation| violation.contains(self.wanted));
+        let violation = violations.find(|violation| violation.contains(self.expected_violation));
         violation.map_or(Ok(()), |violation| Err(violation.clone()))
     }
 }
 
-fn nothing_left_behind(world: &World) -> Result<(), String> {
+fn check_nothing_left(world: &World) -> Result<(), String> {
     let status = world.engine.status(world.now);
-    let left = (
+    let open = (
         status.queries_in_progress,
         status.waiting_shards + status.backing_off_shards,
     );
     let busy = status.leafs.iter().any(|leaf| leaf.in_flight > 0);
-    if left == (0, 0) && !busy {
+    if open == (0, 0) && !busy {
         return Ok(());
     }
-    Err(format!("left behind after all queries ended: {status:?}"))
+    Err(format!("still in use after all queries ended: {status:?}"))
 }
 
 fn from_environment<T: std::str::FromStr>(name: &str) -> Option<T> {
@@ -112,7 +112,7 @@
 
 #[test]
 fn fuzz_default_engine() {
-    let series = Series::honest(EngineTuning::default(), ServicePolicy::default());
+    let series = Series::untampered(EngineTuning::default(), ServicePolicy::default());
     assert_eq!(series.run(), Ok(()));
 }
 
@@ -123,12 +123,12 @@
         retry_budget_percent: 100.0,
         ..ServicePolicy::default()
     };
-    let series = Series::honest(EngineTuning::default(), policy);
+    let series = Series::untampered(EngineTuning::default(), policy);
     assert_eq!(series.run(), Ok(()));
 }
 
 #[test]
 fn fuzz_baseline_engine() {
-    let series = Series::honest(EngineTuning::baseline(), ServicePolicy::default());
+    let series = Series::untampered(EngineTuning::baseline(), ServicePolicy::default());
     assert_eq!(series.run(), Ok(()));
 }
--- a/crates/tansylead-query/tests/engine/load_mechanisms.rs
+++ b/crates/tansylead-query/tests/engine/load_mechanisms.rs
@@ -1,5 +1,5 @@
-//! Mechanisms that spread and bound load: replica choice, ejection, slow start, limits, waiting,
-//! hedges, budget, admission.
+//! Tests of the mechanisms that spread and bound load: replica choice, ejection, slow start, limits,
+//! waiting, hedges, retry budget, admission.
 
 use crate::builders::*;
 use crate::mechanisms::*;
@@ -34,7 +34,7 @@
 
 #[test]
 fn straggler_is_ejected_within_the_share_and_probed_again() {
-    // Two choices alone would avoid the straggler so soon that nothing is left to eject.
+    // Power of two choices would avoid the straggler too early for it to be ejected.
     let tuning = EngineTuning {
         ejection: true,
         slow_start: true,
@@ -335,7 +335,7 @@
     world.assert_clean();
 }
 
-/// Found by the fuzz: the deadline was due when the paused root learned that the caller had gone.
+/// Found by the fuzz test: the deadline was due when a paused root received the caller's disconnect.
 #[test]
 fn caller_gone_at_a_root_paused_past_the_deadline_gets_no_answer() {
     let mut world = world();
@@ -347,8 +347,8 @@
     world.assert_clean();
 }
 
-/// Found by the fuzz: hedges were due when the paused root got the configuration that removes
-/// the leafs they would have gone to.
+/// Found by the fuzz test: hedges were due when a paused root received the configuration that removes
+/// the leafs they would have been sent to.
 #[test]
 fn paused_root_hears_of_leafs_before_it_hedges() {
     let mut world = world();
--- a/crates/tansylead-query/tests/engine/main.rs
+++ b/crates/tansylead-query/tests/engine/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the root engine: one per mechanism, and a stateful fuzz against a simple oracle that
-//! is shown to catch broken variants.
+//! Tests of the root engine: one per mechanism, and a stateful fuzz test against a simple oracle.
+//! Broken variants of the engine show that the oracle catches their faults.
 
 mod builders;
 mod fuzz;
--- a/crates/tansylead-query/tests/engine/mechanisms.rs
+++ b/crates/tansylead-query/tests/engine/mechanisms.rs
@@ -1,4 +1,4 @@
-//! One test for each mechanism of the engine. The oracle watches every one of them.
+//! One test for each mechanism of the engine. The oracle checks every event and action.
 
 use crate::builders::*;
 use crate::world::World;
@@ -80,7 +80,7 @@
     world.start(start);
     world.answer_all();
     assert_eq!(last(&world).snapshot, Some(SnapshotVersion(2)));
-    // Shard p3-0 is held by leafs 0 and 1; both say they hold version 1 only.
+    // Shard p3-0 is held by leafs 0 and 1; both report that they hold version 1 only.
     world.deliver(health(0, false, &[1]));
     world.deliver(health(1, false, &[1]));
     world.advance(Duration::from_secs(11));
@@ -134,7 +134,7 @@
     world.assert_clean();
 }
 
-/// Found by the fuzz: the refusal reached a paused root after its query's deadline.
+/// Found by the fuzz test: the refusal reached a paused root after its query's deadline.
 #[test]
 fn late_refusal_still_tells_that_the_leaf_lost_the_snapshot() {
     let mut world = world();
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn late_announcement_of_the_old_life_does_not_outlast_the_new_one() {
+fn late_announcement_of_the_old_process_does_not_outlast_the_new_one() {
     let mut world = world();
     let start = lookup(&world, 0);
     let sent = sends(&world.start(start));
--- a/crates/tansylead-query/tests/engine/oracle.rs
+++ b/crates/tansylead-query/tests/engine/oracle.rs
@@ -1,5 +1,5 @@
-//! The oracle: what was sent, what may have run, what leafs said. It knows nothing of the engine's
-//! code and judges each action on its own books.
+//! The oracle: records what was sent, what may have run and what leafs reported, independently of the
+//! engine's code, and checks each action against these records.
 
 use crate::builders::ROOT;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 use tansylead_types::leaf::RefusalReason;
 use tansylead_types::*;
 
-/// How an attempt stands in the books.
+/// What the oracle knows about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
     /// In flight: it may run.
@@ -21,38 +21,38 @@
     MayHaveRun,
     /// A matching answer was delivered.
     Answered,
-    /// Certainly did not run, and says nothing about load.
+    /// Certainly did not run, and not for lack of capacity.
     NotRun,
-    /// Certainly did not run: shed or too late.
+    /// Certainly did not run: shed by an overloaded leaf, or expired.
     Shed,
 }
 
-/// One attempt in the books.
+/// Record of one attempt.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct AttemptRecord {
     pub send: SendAttempt,
     pub fate: Fate,
 }
 
-/// One query in the books.
+/// Record of one query.
 #[derive(Debug)]
-pub struct Case {
+pub struct QueryRecord {
     pub start: StartQuery,
-    pub entries: Vec<Entry>,
+    pub attempts: Vec<AttemptRecord>,
     pub over: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct LeavingMark {
-    last_sign: Moment,
+    last_signal: Moment,
     in_band: bool,
-    seen_gone: bool,
+    seen_unreachable: bool,
 }
 
-/// The books.
+/// All records, and the violations found.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    pub cases: BTreeMap<QueryId, Case>,
+    pub queries: BTreeMap<QueryId, QueryRecord>,
     pub violations: Vec<String>,
     pub policy: ServicePolicy,
     pub roots: u32,
@@ -61,22 +61,22 @@
     replicas: BTreeMap<(SnapshotVersion, ShardId), BTreeSet<LeafId>>,
     pub shard_lists: BTreeMap<SnapshotVersion, Vec<ShardId>>,
     highest_percent: f64,
-    being_ended: Option<(QueryId, AttemptId)>,
+    ending_attempt: Option<(QueryId, AttemptId)>,
     not_held: BTreeMap<(LeafId, SnapshotVersion), Moment>,
 }
 
-/// A leaf that does not hold a snapshot is not asked for it again within this time.
+/// A leaf that refused for lack of a snapshot gets no attempt for it again within this time.
 const NOT_HELD_LIFETIME: Duration = Duration::from_secs(10);
-/// Where a sign that a leaf is leaving came from.
+/// Source of a signal that a leaf is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Sign {
+enum LeavingSignal {
     InBand,
     Announced,
     Polled,
 }
 
-/// The mark may be forgotten after this time at the soonest.
-const SHORTEST_LEAVE: Duration = Duration::from_secs(30);
+/// The leaving mark may be cleared after this time at the earliest.
+const MIN_LEAVING_DURATION: Duration = Duration::from_secs(30);
 
 impl Oracle {
     pub fn violation(&mut self, text: String) {
@@ -87,15 +87,16 @@
         self.policy = policy.clone();
         self.highest_percent = self.highest_percent.max(policy.retry_budget_percent);
         let added = |leaf: &LeafId| !self.slots.contains_key(leaf);
-        let readded: Vec<LeafId> = placement
+        let added_leafs: Vec<LeafId> = placement
             .leafs
             .iter()
             .map(|leaf| leaf.leaf.clone())
             .filter(added)
             .collect();
-        for leaf in readded {
+        for leaf in added_leafs {
             self.leaving.remove(&leaf);
-            self.not_held.retain(|(refusing, _), _| *refusing != leaf);
+            self.not_held
+                .retain(|(refusing_leaf, _), _| *refusing_leaf != leaf);
         }
         self.slots = placement
             .leafs
@@ -113,17 +114,17 @@
         }
     }
 
-    /// Notes what really happens, before the engine is told.
+    /// Records an event before the engine receives it, and before tampering.
     pub fn on_event(&mut self, now: Moment, event: &RootEvent) {
-        self.being_ended = None;
+        self.ending_attempt = None;
         match event {
             RootEvent::Start(start) => {
-                let case = Case {
+                let query_record = QueryRecord {
                     start: (**start).clone(),
-                    entries: Vec::new(),
+                    attempts: Vec::new(),
                     over: false,
                 };
-                self.cases.insert(start.query, case);
+                self.queries.insert(start.query, query_record);
             }
             RootEvent::AttemptEnded {
                 query,
@@ -131,18 +132,20 @@
                 result,
             } => {
                 self.on_attempt_ended(now, *query, *attempt, result);
-                self.being_ended = Some((*query, *attempt));
+                self.ending_attempt = Some((*query, *attempt));
             }
             RootEvent::LeafHealth { leaf, report } => match report {
-                Some(report) if report.load.draining => self.on_leaving(now, leaf, Sign::Polled),
+                Some(report) if report.load.draining => {
+                    self.on_leaving(now, leaf, LeavingSignal::Polled)
+                }
                 Some(report) if report.healthy => self.on_healthy(now, leaf),
                 Some(_) => {}
-                None => self.on_gone(leaf),
+                None => self.on_unreachable(leaf),
             },
-            RootEvent::LeafLeaving(leaf) => self.on_leaving(now, leaf, Sign::Announced),
+            RootEvent::LeafLeaving(leaf) => self.on_leaving(now, leaf, LeavingSignal::Announced),
             RootEvent::CallerGone(query) => {
-                if let Some(case) = self.cases.get_mut(query) {
-                    case.over = true;
+                if let Some(query_record) = self.queries.get_mut(query) {
+                    query_record.over = true;
                 }
             }
             RootEvent::Wakeup => {}
@@ -156,27 +159,30 @@
         attempt: AttemptId,
         result: &AttemptResult,
     ) {
-        let open = self.cases.get(&query).is_some_and(|case| !case.over);
-        let Some(entry) = self.entry_mut(query, attempt) else {
+        let open = self
+            .queries
+            .get(&query)
+            .is_some_and(|query_record| !query_record.over);
+        let Some(record) = self.attempt_mut(query, attempt) else {
             return;
         };
-        // Nobody can tell which leaf sent an answer that comes long after its query is over.
-        let first_end = match entry.fate {
+        // The engine cannot tell which leaf sent an answer long after its query is over.
+        let first_end = match record.fate {
             Fate::Running => true,
             Fate::Cancelled => open,
             _ => false,
         };
-        let leaf = entry.send.leaf.clone();
-        let held_key = (leaf.clone(), entry.send.snapshot);
-        let was_running = entry.fate == Fate::Running;
-        let fate = fate_of(&entry.send, result);
-        if entry.fate == Fate::Running {
-            entry.fate = fate;
-        } else if entry.fate == Fate::Cancelled {
-            entry.fate = Fate::MayHaveRun;
+        let leaf = record.send.leaf.clone();
+        let held_key = (leaf.clone(), record.send.snapshot);
+        let was_running = record.fate == Fate::Running;
+        let fate = fate_of(&record.send, result);
+        if record.fate == Fate::Running {
+            record.fate = fate;
+        } else if record.fate == Fate::Cancelled {
+            record.fate = Fate::MayHaveRun;
         }
         if was_running {
-            self.note_held(now, held_key, fate, result);
+            self.record_holding(now, held_key, fate, result);
         }
         if !first_end {
             return;
@@ -184,21 +190,22 @@
         let draining = match result {
             AttemptResult::Answered(answer) => answer.load.draining && fate == Fate::Answered,
             AttemptResult::Refused(refusal) => {
-                let says_so = refusal.reason == RefusalReason::Draining || refusal.load.draining;
-                says_so && fate != Fate::MayHaveRun
+                let is_drain_mark =
+                    refusal.reason == RefusalReason::Draining || refusal.load.draining;
+                is_drain_mark && fate != Fate::MayHaveRun
             }
             AttemptResult::NotSent => {
-                self.on_gone(&leaf);
+                self.on_unreachable(&leaf);
                 false
             }
             AttemptResult::Expired | AttemptResult::Failed => false,
         };
         if draining {
-            self.on_leaving(now, &leaf, Sign::InBand);
+            self.on_leaving(now, &leaf, LeavingSignal::InBand);
         }
     }
 
-    fn note_held(
+    fn record_holding(
         &mut self,
         now: Moment,
         key: (LeafId, SnapshotVersion),
@@ -218,40 +225,45 @@
         }
     }
 
-    fn on_leaving(&mut self, now: Moment, leaf: &LeafId, sign: Sign) {
+    fn on_leaving(&mut self, now: Moment, leaf: &LeafId, signal: LeavingSignal) {
         if !self.slots.contains_key(leaf) {
             return;
         }
         let mark = self.leaving.entry(leaf.clone()).or_insert(LeavingMark {
-            last_sign: now,
+            last_signal: now,
             in_band: false,
-            seen_gone: false,
+            seen_unreachable: false,
         });
-        mark.last_sign = now;
-        mark.in_band |= sign == Sign::InBand;
-        // An announcement may be about the life that has ended.
-        mark.seen_gone &= sign == Sign::Announced;
+        mark.last_signal = now;
+        mark.in_band |= signal == LeavingSignal::InBand;
+        // An announcement may be about the process that has ended.
+        mark.seen_unreachable &= signal == LeavingSignal::Announced;
     }
 
-    fn on_gone(&mut self, leaf: &LeafId) {
+    fn on_unreachable(&mut self, leaf: &LeafId) {
         if let Some(mark) = self.leaving.get_mut(leaf) {
-            mark.seen_gone = true;
+            mark.seen_unreachable = true;
         }
     }
 
     fn on_healthy(&mut self, now: Moment, leaf: &LeafId) {
-        let forgotten = self.leaving.get(leaf).is_some_and(|mark| {
-            now.since(mark.last_sign) >= SHORTEST_LEAVE && (mark.seen_gone || !mark.in_band)
+        let clears = self.leaving.get(leaf).is_some_and(|mark| {
+            now.since(mark.last_signal) >= MIN_LEAVING_DURATION
+                && (mark.seen_unreachable || !mark.in_band)
         });
-        if forgotten {
+        if clears {
             self.leaving.remove(leaf);
         }
     }
 
-    pub fn entry_mut(&mut self, query: QueryId, attempt: AttemptId) -> Option<&mut Entry> {
-        let case = self.cases.get_mut(&query)?;
-        let mut entries = case.entries.iter_mut();
-        entries.find(|entry| entry.send.attempt == attempt)
+    pub fn attempt_mut(
+        &mut self,
+        query: QueryId,
+        attempt: AttemptId,
+    ) -> Option<&mut AttemptRecord> {
+        let query_record = self.queries.get_mut(&query)?;
+        let mut records = query_record.attempts.iter_mut();
+        records.find(|record| record.send.attempt == attempt)
     }
 
     pub fn on_action(&mut self, now: Moment, tuning: &EngineTuning, action: &RootAction) {
@@ -264,13 +276,13 @@
 
     fn on_send(&mut self, now: Moment, tuning: &EngineTuning, send: &SendAttempt) {
         self.check_target(now, send);
-        self.check_against_case(now, send);
-        let entry = Entry {
+        self.check_against_query(now, send);
+        let record = AttemptRecord {
             send: send.clone(),
             fate: Fate::Running,
         };
-        if let Some(case) = self.cases.get_mut(&send.query) {
-            case.entries.push(entry);
+        if let Some(query_record) = self.queries.get_mut(&send.query) {
+            query_record.attempts.push(record);
         }
         self.check_slots(&send.leaf);
         self.check_budget(tuning);
@@ -296,28 +308,32 @@
         }
     }
 
-    fn check_against_case(&mut self, now: Moment, send: &SendAttempt) {
-        let Some(case) = self.cases.get(&send.query).filter(|case| !case.over) else {
+    fn check_against_query(&mut self, now: Moment, send: &SendAttempt) {
+        let Some(query_record) = self
+            .queries
+            .get(&send.query)
+            .filter(|query_record| !query_record.over)
+        else {
             return self.violation(format!("sent for a query that is over: {send:?}"));
         };
         let mut wrong = Vec::new();
-        if now >= case.start.deadline || send.deadline > case.start.deadline {
+        if now >= query_record.start.deadline || send.deadline > query_record.start.deadline {
             wrong.push("sent past the deadline");
         }
         let mut running_beside = 0;
-        for entry in &case.entries {
-            if entry.send.attempt == send.attempt {
+        for record in &query_record.attempts {
+            if record.send.attempt == send.attempt {
                 wrong.push("attempt id used twice");
             }
-            let running = entry.fate == Fate::Running;
-            if running && entry.send.snapshot != send.snapshot {
+            let running = record.fate == Fate::Running;
+            if running && record.send.snapshot != send.snapshot {
                 wrong.push("attempts of two snapshots in flight");
             }
-            let same_shard = entry.send.shard == send.shard;
+            let same_shard = record.send.shard == send.shard;
             running_beside += u32::from(running && same_shard);
-            let settled_not_run = matches!(entry.fate, Fate::NotRun | Fate::Shed);
-            let repeatable = case.start.request.is_repeatable();
-            if !repeatable && same_shard && !settled_not_run {
+            let certainly_not_run = matches!(record.fate, Fate::NotRun | Fate::Shed);
+            let repeatable = query_record.start.request.is_repeatable();
+            if !repeatable && same_shard && !certainly_not_run {
                 wrong.push("non-repeatable shard dispatched again");
             }
         }
@@ -330,9 +346,12 @@
     }
 
     fn check_slots(&mut self, leaf: &LeafId) {
-        let entries = self.cases.values().flat_map(|case| &case.entries);
-        let running = entries
-            .filter(|entry| entry.send.leaf == *leaf && entry.fate == Fate::Running)
+        let records = self
+            .queries
+            .values()
+            .flat_map(|query_record| &query_record.attempts);
+        let running = records
+            .filter(|record| record.send.leaf == *leaf && record.fate == Fate::Running)
             .count();
         let slots = self.slots.get(leaf).copied().unwrap_or(0);
         let share = (slots / self.roots.max(1)).max(1) as usize;
@@ -341,26 +360,29 @@
         }
     }
 
-    /// Shards wait for this leaf.
+    /// Checks a leaf that shards wait for.
     pub fn check_waited_for(&mut self, leaf: &LeafId) {
         if self.leaving.contains_key(leaf) || !self.slots.contains_key(leaf) {
             self.violation(format!("shards wait for {leaf}, which gets no work"));
         }
     }
 
-    /// Extra attempts: those of a shard on one snapshot beyond the first, less those that follow
-    /// one that certainly did not run and was not shed.
+    /// Checks the number of extra attempts: those of a shard on one snapshot beyond the first, less
+    /// those that follow one that certainly did not run and was not shed.
     fn check_budget(&mut self, tuning: &EngineTuning) {
         let (mut first, mut extra) = (0, 0);
-        for case in self.cases.values() {
+        for query_record in self.queries.values() {
             let mut groups: BTreeMap<(SnapshotVersion, &ShardId), (usize, usize)> = BTreeMap::new();
-            for entry in &case.entries {
-                let key = (entry.send.snapshot, &entry.send.shard);
+            for record in &query_record.attempts {
+                let key = (record.send.snapshot, &record.send.shard);
                 let group = groups.entry(key).or_default();
                 group.0 += 1;
-                group.1 += usize::from(entry.fate == Fate::NotRun);
+                group.1 += usize::from(record.fate == Fate::NotRun);
             }
-            let first_snapshot = case.entries.first().map(|entry| entry.send.snapshot);
+            let first_snapshot = query_record
+                .attempts
+                .first()
+                .map(|record| record.send.snapshot);
             for ((snapshot, _), (sent, not_run)) in groups {
                 first += usize::from(Some(snapshot) == first_snapshot);
                 extra += (sent - 1).saturating_sub(not_run);
@@ -373,20 +395,20 @@
         }
     }
 
-    /// An attempt whose end comes after the deadline, to a process that was paused, is cancelled in
-    /// the very step that delivers its end: that end is not used.
+    /// If a paused process receives the end of an attempt after the deadline, the same step cancels
+    /// the attempt and ignores its end.
     fn on_cancel(&mut self, query: QueryId, attempt: AttemptId) {
-        let unused_end = self.being_ended == Some((query, attempt));
-        let entry = self.entry_mut(query, attempt);
-        let cancellable = entry.filter(|entry| entry.fate == Fate::Running || unused_end);
+        let unused_end = self.ending_attempt == Some((query, attempt));
+        let record = self.attempt_mut(query, attempt);
+        let cancellable = record.filter(|record| record.fate == Fate::Running || unused_end);
         match cancellable {
-            Some(entry) => entry.fate = Fate::Cancelled,
+            Some(record) => record.fate = Fate::Cancelled,
             None => self.violation(format!("cancelled what was not running: {attempt:?}")),
         }
     }
 }
 
-/// What the end of an attempt says about whether it ran.
+/// Whether the attempt ran, judging by its end.
 fn fate_of(send: &SendAttempt, result: &AttemptResult) -> Fate {
     match result {
         AttemptResult::Answered(answer) => {
--- a/crates/tansylead-query/tests/engine/oracle_finish.rs
+++ b/crates/tansylead-query/tests/engine/oracle_finish.rs
@@ -1,27 +1,35 @@
-//! The oracle's judgement of final answers and of queries that should have ended.
+//! The oracle's checks of final answers and of queries that should have ended.
 
 use crate::builders::content;
-use crate::oracle::{Case, Fate, Oracle};
+use crate::oracle::{Fate, Oracle, QueryRecord};
 use std::collections::BTreeSet;
 use tansylead_types::*;
 
 impl Oracle {
     pub fn on_finish(&mut self, now: Moment, query: QueryId, answer: &QueryAnswer) {
-        let Some(case) = self.cases.get_mut(&query).filter(|case| !case.over) else {
+        let Some(query_record) = self
+            .queries
+            .get_mut(&query)
+            .filter(|query_record| !query_record.over)
+        else {
             return self.violation(format!("{query:?} finished twice or never started"));
         };
-        case.over = true;
-        let case = &self.cases[&query];
-        let mut wrong = judge_outcome(case, answer);
-        wrong.extend(judge_results(case, answer));
-        wrong.extend(self.judge_coverage(case, answer));
-        wrong.extend(self.judge_time(now, case, answer));
+        query_record.over = true;
+        let query_record = &self.queries[&query];
+        let mut wrong = check_outcome(query_record, answer);
+        wrong.extend(check_results(query_record, answer));
+        wrong.extend(self.check_coverage(query_record, answer));
+        wrong.extend(self.check_time(now, query_record, answer));
         for text in wrong {
             self.violation(format!("{text}: {answer:?}"));
         }
     }
 
-    fn judge_coverage(&self, case: &Case, answer: &QueryAnswer) -> Vec<&'static str> {
+    fn check_coverage(
+        &self,
+        query_record: &QueryRecord,
+        answer: &QueryAnswer,
+    ) -> Vec<&'static str> {
         let coverage = &answer.coverage;
         let Some(version) = answer.snapshot else {
             let empty = *coverage == Coverage::default() && answer.outcome == Outcome::NotRun;
@@ -31,21 +39,24 @@
                 vec!["coverage without a snapshot"]
             };
         };
-        let Some(list) = self.shard_lists.get(&version) else {
+        let Some(configured) = self.shard_lists.get(&version) else {
             return vec!["a snapshot that was never configured"];
         };
-        let list: BTreeSet<&ShardId> = list.iter().collect();
-        let routed = case.start.request.routing_key.is_some();
-        let total = if routed { 1 } else { list.len() };
+        let configured: BTreeSet<&ShardId> = configured.iter().collect();
+        let routed = query_record.start.request.routing_key.is_some();
+        let total = if routed { 1 } else { configured.len() };
         let answered = answer.results.iter().map(|result| &result.shard);
         let missing = coverage.missing.iter().map(|missing| &missing.shard);
-        let named: Vec<&ShardId> = answered.chain(missing).collect();
-        let distinct: BTreeSet<&ShardId> = named.iter().copied().collect();
+        let listed: Vec<&ShardId> = answered.chain(missing).collect();
+        let distinct: BTreeSet<&ShardId> = listed.iter().copied().collect();
         let mut wrong = Vec::new();
-        if named.len() != distinct.len() {
-            wrong.push("a shard stands twice");
+        if listed.len() != distinct.len() {
+            wrong.push("a shard is listed twice");
         }
-        if coverage.total as usize != total || named.len() != total || !distinct.is_subset(&list) {
+        if coverage.total as usize != total
+            || listed.len() != total
+            || !distinct.is_subset(&configured)
+        {
             wrong.push("coverage does not match the pinned shard list");
         }
         if coverage.answered as usize != answer.results.len() {
@@ -54,39 +65,54 @@
         wrong
     }
 
-    fn judge_time(&self, now: Moment, case: &Case, answer: &QueryAnswer) -> Vec<&'static str> {
+    fn check_time(
+        &self,
+        now: Moment,
+        query_record: &QueryRecord,
+        answer: &QueryAnswer,
+    ) -> Vec<&'static str> {
         let mut wrong = Vec::new();
-        let early = now < case.start.deadline && answer.outcome == Outcome::Partial;
-        let was_running = case.entries.iter().any(|entry| entry.fate == Fate::Running);
+        let early = now < query_record.start.deadline && answer.outcome == Outcome::Partial;
+        let was_running = query_record
+            .attempts
+            .iter()
+            .any(|record| record.fate == Fate::Running);
         if was_running {
             wrong.push("finished with attempts neither ended nor cancelled");
         }
-        let cut_short = answer
+        let deadline_reported = answer
             .coverage
             .missing
             .iter()
             .any(|missing| missing.reason == MissingReason::DeadlineExceeded);
-        let cut_allowed = matches!(self.policy.wait, WaitPolicy::EarlyPartial { .. });
-        let refused_late = case.entries.iter().any(|entry| entry.fate == Fate::Shed);
-        if early && cut_short && !cut_allowed && !refused_late {
+        let early_allowed = matches!(self.policy.wait, WaitPolicy::EarlyPartial { .. });
+        let any_shed = query_record
+            .attempts
+            .iter()
+            .any(|record| record.fate == Fate::Shed);
+        if early && deadline_reported && !early_allowed && !any_shed {
             wrong.push("partial before the deadline without an early policy");
         }
         wrong
     }
 
-    /// After every event: nothing open past its deadline, nothing open without a reason.
+    /// Checks after every event that no query is open past its deadline or without a reason.
     pub fn check_open_queries(&mut self, now: Moment, waiting: usize, wakeup: Option<Moment>) {
         let mut wrong = Vec::new();
         let mut idle = 0;
-        for (query, case) in self.cases.iter().filter(|(_, case)| !case.over) {
-            if case.start.deadline <= now {
+        for (query, query_record) in self
+            .queries
+            .iter()
+            .filter(|(_, query_record)| !query_record.over)
+        {
+            if query_record.start.deadline <= now {
                 wrong.push(format!("{query:?} is open past its deadline"));
             }
-            if wakeup.is_none_or(|wakeup| wakeup > case.start.deadline) {
+            if wakeup.is_none_or(|wakeup| wakeup > query_record.start.deadline) {
                 wrong.push(format!("no wakeup by the deadline of {query:?}"));
             }
-            let mut entries = case.entries.iter();
-            idle += usize::from(!entries.any(|entry| entry.fate == Fate::Running));
+            let mut records = query_record.attempts.iter();
+            idle += usize::from(!records.any(|record| record.fate == Fate::Running));
         }
         if idle > waiting {
             wrong.push(format!(
@@ -97,10 +123,12 @@
     }
 }
 
-fn judge_outcome(case: &Case, answer: &QueryAnswer) -> Vec<&'static str> {
+fn check_outcome(query_record: &QueryRecord, answer: &QueryAnswer) -> Vec<&'static str> {
     let fate_count = |wanted: &[Fate]| {
-        let entries = case.entries.iter();
-        entries.filter(|entry| wanted.contains(&entry.fate)).count()
+        let records = query_record.attempts.iter();
+        records
+            .filter(|record| wanted.contains(&record.fate))
+            .count()
     };
     let may_have_run = fate_count(&[
         Fate::Running,
@@ -109,9 +137,9 @@
         Fate::Answered,
     ]) > 0;
     let unknown = fate_count(&[Fate::Running, Fate::Cancelled, Fate::MayHaveRun]) > 0;
-    let repeatable = case.start.request.is_repeatable();
-    let whole = answer.snapshot.is_some() && answer.coverage.missing.is_empty();
-    let expected = if whole {
+    let repeatable = query_record.start.request.is_repeatable();
+    let is_complete = answer.snapshot.is_some() && answer.coverage.missing.is_empty();
+    let expected = if is_complete {
         Outcome::Complete
     } else if !may_have_run {
         Outcome::NotRun
@@ -125,22 +153,22 @@
         wrong.push("untrue outcome");
     }
     if answer.outcome == Outcome::NotRun && answer.retry_after.is_none() {
-        wrong.push("not run without a time to come back");
+        wrong.push("not run without a retry_after value");
     }
-    if answer.attempts as usize != case.entries.len() {
+    if answer.attempts as usize != query_record.attempts.len() {
         wrong.push("wrong count of attempts");
     }
-    if answer.request != case.start.request.request {
+    if answer.request != query_record.start.request.request {
         wrong.push("another request's id");
     }
     wrong
 }
 
-fn judge_results(case: &Case, answer: &QueryAnswer) -> Vec<&'static str> {
+fn check_results(query_record: &QueryRecord, answer: &QueryAnswer) -> Vec<&'static str> {
     let mut wrong = Vec::new();
     let snapshot = answer.snapshot.unwrap_or_default();
     for result in &answer.results {
-        if result.result != content(case.start.query, &result.shard, snapshot) {
+        if result.result != content(query_record.start.query, &result.shard, snapshot) {
             wrong.push("result of another query, shard or snapshot");
         }
     }
--- a/crates/tansylead-query/tests/engine/transitions.rs
+++ b/crates/tansylead-query/tests/engine/transitions.rs
@@ -1,5 +1,5 @@
-//! The steps of the fuzz: everything that callers, leafs, health, configuration and the scheduler
-//! can do to a root, alone or together.
+//! Steps of the fuzz test: everything that callers, leafs, health polls, configuration and process
+//! pauses can do to a root, alone or in combination.
 
 use crate::builders::*;
 use crate::world::World;
@@ -10,9 +10,9 @@
 use tansylead_types::leaf::{LeafAnswer, LeafHealth, LeafLoad, RefusalReason};
 use tansylead_types::*;
 
-/// Leafs of the fuzz.
+/// Number of leafs in the fuzz test.
 pub const LEAFS: usize = 5;
-/// Snapshots kept in force.
+/// Number of newest snapshots that `DropOldSnapshots` keeps.
 const SNAPSHOTS_KEPT: usize = 2;
 
 /// How an attempt ends.
@@ -38,7 +38,7 @@
     PostToAll,
 }
 
-/// One step.
+/// One step of the fuzz test.
 #[derive(Debug, Clone)]
 pub enum Step {
     Start {
@@ -98,7 +98,7 @@
     },
 }
 
-/// Number of queries started and of snapshots made: all that steps depend on.
+/// Empty reference state: which steps may come next does not depend on earlier ones.
 #[derive(Debug, Clone, Default)]
 pub struct Script;
 
@@ -172,7 +172,7 @@
     ]
 }
 
-/// Carries one step out.
+/// Applies one step to the world.
 pub fn apply(world: &mut World, step: &Step) {
     match step {
         Step::Start { kind, key, millis } => start_query(world, *kind, *key, *millis),
@@ -205,7 +205,11 @@
             }
         }
         Step::CallerGone { pick } => {
-            let open = world.oracle.cases.iter().filter(|(_, case)| !case.over);
+            let open = world
+                .oracle
+                .queries
+                .iter()
+                .filter(|(_, query_record)| !query_record.over);
             let open: Vec<QueryId> = open.map(|(query, _)| *query).collect();
             if let Some(query) = picked(&open, *pick) {
                 world.deliver(RootEvent::CallerGone(query));
@@ -291,7 +295,7 @@
 }
 
 fn start_query(world: &mut World, kind: Kind, key: u8, millis: u64) {
-    let number = world.oracle.cases.len() as u64;
+    let number = world.oracle.queries.len() as u64;
     let mut query = start(number, world.now, Duration::from_millis(millis));
     let key = format!("account-{}", key % 8);
     match kind {
--- a/crates/tansylead-query/tests/engine/variants.rs
+++ b/crates/tansylead-query/tests/engine/variants.rs
@@ -1,5 +1,5 @@
-//! Broken variants: each breaks one promise by tampering between the engine and the oracle, as an
-//! engine without the mechanism would, and the fuzz must notice.
+//! Broken variants: each test breaks one guarantee by tampering between the engine and the oracle, as
+//! an engine without the mechanism would, and the fuzz test must notice.
 
 use crate::builders::{ROOT, request_id};
 use crate::fuzz::Series;
@@ -8,21 +8,21 @@
 use tansylead_types::leaf::RefusalReason;
 use tansylead_types::*;
 
-fn must_notice(wanted: &'static str, tampering: Tampering) {
+fn must_notice(expected_violation: &'static str, tampering: Tampering) {
     let series = Series {
         tampering,
-        wanted,
-        shrinks: 0,
-        ..Series::honest(EngineTuning::default(), ServicePolicy::default())
+        expected_violation,
+        shrink_iterations: 0,
+        ..Series::untampered(EngineTuning::default(), ServicePolicy::default())
     };
     let outcome = series.run();
     let error = outcome.expect_err("the oracle noticed nothing");
-    assert!(error.contains(wanted), "{error}");
+    assert!(error.contains(expected_violation), "{error}");
 }
 
-fn must_notice_event(wanted: &'static str, event: fn(&mut RootEvent) -> bool) {
+fn must_notice_event(expected_violation: &'static str, event: fn(&mut RootEvent) -> bool) {
     must_notice(
-        wanted,
+        expected_violation,
         Tampering {
             event,
             ..Tampering::none()
@@ -30,9 +30,12 @@
     );
 }
 
-fn must_notice_result(wanted: &'static str, result: fn(QueryId, AttemptId, &mut AttemptResult)) {
+fn must_notice_result(
+    expected_violation: &'static str,
+    result: fn(QueryId, AttemptId, &mut AttemptResult),
+) {
     must_notice(
-        wanted,
+        expected_violation,
         Tampering {
             result,
             ..Tampering::none()
@@ -40,9 +43,9 @@
     );
 }
 
-fn must_notice_action(wanted: &'static str, action: fn(&RootAction) -> bool) {
+fn must_notice_action(expected_violation: &'static str, action: fn(&RootAction) -> bool) {
     must_notice(
-        wanted,
+        expected_violation,
         Tampering {
             action,
             ..Tampering::none()
@@ -50,9 +53,9 @@
     );
 }
 
-fn must_notice_answer(wanted: &'static str, answer: fn(&mut QueryAnswer)) {
+fn must_notice_answer(expected_violation: &'static str, answer: fn(&mut QueryAnswer)) {
     must_notice(
-        wanted,
+        expected_violation,
         Tampering {
             answer,
             ..Tampering::none()
@@ -169,7 +172,7 @@
 
 #[test]
 fn doubled_shard_is_noticed() {
-    must_notice_answer("a shard stands twice", |answer| {
+    must_notice_answer("a shard is listed twice", |answer| {
         let first = answer.results.first().cloned();
         answer.results.extend(first);
         answer.coverage.answered = answer.results.len() as u32;
@@ -197,7 +200,7 @@
 
 #[test]
 fn missing_retry_after_is_noticed() {
-    must_notice_answer("without a time to come back", |answer| {
+    must_notice_answer("without a retry_after value", |answer| {
         answer.retry_after = None
     });
 }
--- a/crates/tansylead-query/tests/engine/world.rs
+++ b/crates/tansylead-query/tests/engine/world.rs
@@ -1,5 +1,5 @@
-//! Drives the engine under virtual time, shows every event and action to the oracle, and can
-//! tamper with either on the way, to show that the oracle notices.
+//! Runs the engine under virtual time, passes every event and action to the oracle, and can tamper
+//! with events and actions to prove that the oracle notices.
 
 use crate::builders::{ROOT, answer_to, definition, placement};
 use crate::oracle::{Fate, Oracle};
@@ -10,8 +10,8 @@
 };
 use tansylead_types::*;
 
-/// More wakeups than this without progress are a livelock.
-const MOST_WAKEUPS: usize = 100_000;
+/// More wakeups than this in one advance count as a livelock.
+const MAX_WAKEUPS: usize = 100_000;
 
 /// Changes or drops events before the engine sees them, and actions before the oracle sees them.
 #[derive(Debug, Clone, Copy)]
@@ -39,7 +39,7 @@
     }
 }
 
-/// The engine between tampering and oracle.
+/// The engine, the oracle and the tampering between them.
 pub struct World {
     pub engine: RootEngine,
     pub oracle: Oracle,
@@ -86,16 +86,18 @@
         world
     }
 
-    /// Puts `policy`, `leafs` and `snapshots` in force.
+    /// Applies `policy`, `leafs` and `snapshots` as the configuration.
     pub fn configure(&mut self) -> Vec<RootAction> {
-        let in_force = placement(self.leafs.clone(), self.snapshots.clone());
-        self.oracle.on_configure(&self.policy, &in_force);
+        let true_placement = placement(self.leafs.clone(), self.snapshots.clone());
+        self.oracle.on_configure(&self.policy, &true_placement);
         let mut policy = self.policy.clone();
         (self.tampering.policy)(&mut policy);
         let mut leafs = self.leafs.clone();
         (self.tampering.leafs)(&mut leafs);
-        let shown = placement(leafs, self.snapshots.clone());
-        let actions = self.engine.configure(self.now, &definition(policy), &shown);
+        let tampered_placement = placement(leafs, self.snapshots.clone());
+        let actions = self
+            .engine
+            .configure(self.now, &definition(policy), &tampered_placement);
         self.take(actions)
     }
 
@@ -142,11 +144,11 @@
         self.take(actions)
     }
 
-    /// Lets time pass, waking the engine whenever it asks.
+    /// Advances the time and wakes the engine at each wakeup it requested.
     pub fn advance(&mut self, duration: Duration) -> Vec<RootAction> {
         let target = self.now + duration;
         let mut actions = Vec::new();
-        for _ in 0..MOST_WAKEUPS {
+        for _ in 0..MAX_WAKEUPS {
             match self.engine.next_wakeup() {
                 Some(at) if at <= target && self.tampering.deliver_wakeups => {
                     self.now = self.now.max(at);
@@ -165,12 +167,12 @@
 
     /// Attempts in flight, oldest query first.
     pub fn running(&self) -> Vec<SendAttempt> {
-        self.entries(&[Fate::Running])
+        self.attempts(&[Fate::Running])
     }
 
     /// Attempts that ended or were cancelled.
     pub fn past(&self) -> Vec<SendAttempt> {
-        self.entries(&[
+        self.attempts(&[
             Fate::Cancelled,
             Fate::MayHaveRun,
             Fate::Answered,
@@ -179,7 +181,7 @@
         ])
     }
 
-    /// Answers every attempt in flight, also those that follow.
+    /// Answers every attempt in flight and those sent as a consequence.
     pub fn answer_all(&mut self) {
         while let Some(send) = self.running().first().cloned() {
             self.end(&send, AttemptResult::Answered(answer_to(&send)));
@@ -191,11 +193,11 @@
         assert!(violations.is_empty(), "{violations:#?}");
     }
 
-    fn entries(&self, fates: &[Fate]) -> Vec<SendAttempt> {
-        let cases = self.oracle.cases.values();
-        let entries = cases.flat_map(|case| &case.entries);
-        let wanted = entries.filter(|entry| fates.contains(&entry.fate));
-        wanted.map(|entry| entry.send.clone()).collect()
+    fn attempts(&self, fates: &[Fate]) -> Vec<SendAttempt> {
+        let query_records = self.oracle.queries.values();
+        let records = query_records.flat_map(|query_record| &query_record.attempts);
+        let wanted = records.filter(|record| fates.contains(&record.fate));
+        wanted.map(|record| record.send.clone()).collect()
     }
 
     fn take(&mut self, actions: Vec<RootAction>) -> Vec<RootAction> {
