--- a/crates/tansylead-query/src/backoff.rs
+++ b/crates/tansylead-query/src/backoff.rs
@@ -9,8 +9,7 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// The backoff is the time left divided by this: long deadlines
-/// outlast the restart of a leaf.
+/// The backoff is the time left divided by this: long deadlines outlast the restart of a leaf.
 const TIME_LEFT_DIVISOR: u32 = 8;
 /// Longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
--- a/crates/tansylead-query/tests/engine/oracle.rs
+++ b/crates/tansylead-query/tests/engine/oracle.rs
@@ -69,7 +69,7 @@
 const NOT_HELD_LIFETIME: Duration = Duration::from_secs(10);
 /// Source of a signal that a leaf is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LeavingSignal {
+enum Signal {
     InBand,
     Announced,
     Polled,
@@ -135,14 +135,12 @@
                 self.ending_attempt = Some((*query, *attempt));
             }
             RootEvent::LeafHealth { leaf, report } => match report {
-                Some(report) if report.load.draining => {
-                    self.on_leaving(now, leaf, LeavingSignal::Polled)
-                }
+                Some(report) if report.load.draining => self.on_leaving(now, leaf, Signal::Polled),
                 Some(report) if report.healthy => self.on_healthy(now, leaf),
                 Some(_) => {}
                 None => self.on_unreachable(leaf),
             },
-            RootEvent::LeafLeaving(leaf) => self.on_leaving(now, leaf, LeavingSignal::Announced),
+            RootEvent::LeafLeaving(leaf) => self.on_leaving(now, leaf, Signal::Announced),
             RootEvent::CallerGone(query) => {
                 if let Some(query_record) = self.queries.get_mut(query) {
                     query_record.over = true;
@@ -201,7 +199,7 @@
             AttemptResult::Expired | AttemptResult::Failed => false,
         };
         if draining {
-            self.on_leaving(now, &leaf, LeavingSignal::InBand);
+            self.on_leaving(now, &leaf, Signal::InBand);
         }
     }
 
@@ -225,7 +223,7 @@
         }
     }
 
-    fn on_leaving(&mut self, now: Moment, leaf: &LeafId, signal: LeavingSignal) {
+    fn on_leaving(&mut self, now: Moment, leaf: &LeafId, signal: Signal) {
         if !self.slots.contains_key(leaf) {
             return;
         }
@@ -235,9 +233,9 @@
             seen_unreachable: false,
         });
         mark.last_signal = now;
-        mark.in_band |= signal == LeavingSignal::InBand;
+        mark.in_band |= signal == Signal::InBand;
         // An announcement may be about the process that has ended.
-        mark.seen_unreachable &= signal == LeavingSignal::Announced;
+        mark.seen_unreachable &= signal == Signal::Announced;
     }
 
     fn on_unreachable(&mut self, leaf: &LeafId) {
