--- a/crates/tansylead-gateway/src/quarantine/state.rs
+++ b/crates/tansylead-gateway/src/quarantine/state.rs
@@ -62,7 +62,7 @@
 impl QuarantineState {
     /// What may be done with a request.
     pub fn verdict(&self, request: &RequestFingerprints) -> Verdict {
-        self.table.borrow().verdict_on(Clock.now(), request)
+        self.table.borrow().strictest_verdict(Clock.now(), request)
     }
 
     /// The refusal of a request that is quarantined.
@@ -113,7 +113,7 @@
             return;
         }
         for fingerprint in request.all() {
-            let was_convicted = self.table.borrow().was_convicted(fingerprint);
+            let was_convicted = self.table.borrow().was_quarantined(fingerprint);
             let changed = self.table.borrow_mut().on_answer(Clock.now(), fingerprint);
             if changed.is_some() && was_convicted {
                 self.kept_changes.add(KeptChange::Cleared(fingerprint));
@@ -158,7 +158,7 @@
 
     /// Forgets what is old. Returns the requests among that which had been quarantined.
     pub fn forget_old(&self) -> Vec<RequestFingerprint> {
-        self.table.borrow_mut().forget_old(Clock.now())
+        self.table.borrow_mut().remove_expired(Clock.now())
     }
 
     /// Whether anything is held that others might lack.
@@ -291,7 +291,7 @@
         if reach == Reach::Relayed && change == QuarantineChange::Learned {
             return;
         }
-        let is_serious = self.table.borrow().is_serious(fingerprint);
+        let is_serious = self.table.borrow().is_likely_cause(fingerprint);
         self.outbox.add_record(fingerprint, reach, is_serious);
     }
 
--- a/crates/tansylead-route/src/quarantine/fingerprint.rs
+++ b/crates/tansylead-route/src/quarantine/fingerprint.rs
@@ -1,45 +1,44 @@
-//! What makes two requests the same one come again.
+//! Fingerprints that recognize repetitions of a request.
 //!
-//! A caller gives each repetition an id of its own, a deadline of its own and perhaps other headers, so none of
-//! these count. Method, host, path and body always do. A repetition may have another query, and what is wrong
-//! with a request may come from many callers: so each request has three fingerprints, from narrow to wide.
+//! A caller sends each repetition with a new id and deadline and perhaps other headers, so these are left out.
+//! Method, host, path and body are always included. A repetition may have another query, and several callers may
+//! send the same faulty request, so each request has three fingerprints, from narrow to wide.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::IpAddr;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bits of a fingerprint that tell its scope.
+/// Bits of a fingerprint that encode its scope.
 const SCOPE_MASK: u128 = 0b11;
 
-/// What a request is recognized by when it comes again.
+/// The parts of a request that its fingerprints are computed from.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestIdentity<'a> {
     /// Address of the caller, without its port.
     pub caller: IpAddr,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Host of the route.
     pub host: &'a str,
-    /// Path and query.
+    /// Path and query, separated by `?`.
     pub target: &'a str,
-    /// Body.
+    /// Whole request body.
     pub body: &'a [u8],
 }
 
-/// What counts for two requests to be the same.
+/// Which parts of two requests must be equal for their fingerprints to be equal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FingerprintScope {
-    /// Everything.
+    /// Caller, method, host, path, query and body.
     Exact,
-    /// Everything but the query.
+    /// All of these but the query.
     Path,
-    /// Everything but the query and the caller.
+    /// All of these but the query and the caller.
     Content,
 }
 
-/// A hash of a request's identity within a scope. Two different requests share one by chance in 1 of 2^126
-/// cases.
+/// Hash of a request within a scope. The probability that two different requests collide is 1 in 2^126.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -48,18 +47,18 @@
 /// The fingerprints of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RequestFingerprints {
-    /// Of everything.
+    /// In scope [`FingerprintScope::Exact`].
     pub exact: RequestFingerprint,
-    /// Without the query.
+    /// In scope [`FingerprintScope::Path`].
     pub path: RequestFingerprint,
-    /// Without query and caller.
+    /// In scope [`FingerprintScope::Content`].
     pub content: RequestFingerprint,
-    /// A hash of the caller.
+    /// Hash of the caller's address.
     pub caller: u32,
 }
 
 impl FingerprintScope {
-    /// Name, for logs.
+    /// Name in logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Exact => "exact",
@@ -78,7 +77,7 @@
 }
 
 impl RequestFingerprint {
-    /// Scope.
+    /// Scope that this fingerprint was computed in.
     pub fn scope(self) -> FingerprintScope {
         match self.0 & SCOPE_MASK {
             1 => FingerprintScope::Path,
@@ -89,14 +88,14 @@
 }
 
 impl RequestFingerprints {
-    /// All of them, from narrow to wide.
+    /// The three fingerprints, from narrow to wide.
     pub fn all(&self) -> [RequestFingerprint; 3] {
         [self.exact, self.path, self.content]
     }
 }
 
 impl RequestIdentity<'_> {
-    /// The fingerprints.
+    /// Computes the request's fingerprints.
     pub fn fingerprints(&self) -> RequestFingerprints {
         let caller = match self.caller.to_canonical() {
             IpAddr::V4(address) => address.octets().to_vec(),
@@ -107,28 +106,28 @@
             None => (self.target, ""),
         };
         let mut hash = Xxh3::new();
-        add(&mut hash, self.method.as_bytes());
-        add(&mut hash, self.host.as_bytes());
-        add(&mut hash, path.as_bytes());
-        add(&mut hash, self.body);
+        hash_field(&mut hash, self.method.as_bytes());
+        hash_field(&mut hash, self.host.as_bytes());
+        hash_field(&mut hash, path.as_bytes());
+        hash_field(&mut hash, self.body);
         let content = fingerprint(&hash, FingerprintScope::Content);
-        add(&mut hash, &caller);
-        let of_path = fingerprint(&hash, FingerprintScope::Path);
-        add(&mut hash, query.as_bytes());
+        hash_field(&mut hash, &caller);
+        let path_scope = fingerprint(&hash, FingerprintScope::Path);
+        hash_field(&mut hash, query.as_bytes());
         let exact = fingerprint(&hash, FingerprintScope::Exact);
         let mut caller_hash = Xxh3::new();
-        add(&mut caller_hash, &caller);
+        hash_field(&mut caller_hash, &caller);
         RequestFingerprints {
             exact,
-            path: of_path,
+            path: path_scope,
             content,
             caller: caller_hash.digest() as u32,
         }
     }
 }
 
-/// Each field goes in behind its length, so that none runs over into the next.
-fn add(hash: &mut Xxh3, field: &[u8]) {
+/// Hashes the field's length first, so that bytes cannot move from one field to the next unnoticed.
+fn hash_field(hash: &mut Xxh3, field: &[u8]) {
     hash.update(&(field.len() as u64).to_le_bytes());
     hash.update(field);
 }
--- a/crates/tansylead-route/src/quarantine/message.rs
+++ b/crates/tansylead-route/src/quarantine/message.rs
@@ -1,4 +1,4 @@
-//! What daemons tell one another of requests under which leafs end.
+//! Message in which daemons exchange their quarantine records.
 
 use super::fingerprint::RequestFingerprint;
 use super::record::Record;
@@ -7,29 +7,29 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// A strike, with times as ages: clocks of different daemons have nothing in common.
+/// A strike with ages in place of times, as the clocks of different daemons are not comparable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct ToldStrike {
+struct StrikeMessage {
     leaf: u64,
     ran_millis: u32,
     ended_millis_ago: u32,
     caller: u32,
 }
 
-/// What one daemon holds of one request.
+/// One daemon's record of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRecord {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    clearings: u32,
-    convictions: u32,
-    left_millis: u32,
-    strikes: Vec<ToldStrike>,
+    times_cleared: u32,
+    times_quarantined: u32,
+    quarantine_left_millis: u32,
+    strikes: Vec<StrikeMessage>,
 }
 
 impl QuarantineRecord {
     pub(super) fn new(now: Moment, fingerprint: RequestFingerprint, record: &Record) -> Self {
-        let told = |strike: &Strike| ToldStrike {
+        let encoded = |strike: &Strike| StrikeMessage {
             leaf: strike.leaf,
             ran_millis: millis(strike.ended.since(strike.sent)),
             ended_millis_ago: millis(now.since(strike.ended)),
@@ -37,27 +37,27 @@
         };
         Self {
             fingerprint,
-            clearings: record.clearings,
-            convictions: record.convictions,
-            left_millis: millis(record.until.since(now)),
-            strikes: record.strikes.iter().map(told).collect(),
+            times_cleared: record.times_cleared,
+            times_quarantined: record.times_quarantined,
+            quarantine_left_millis: millis(record.quarantined_until.since(now)),
+            strikes: record.strikes.iter().map(encoded).collect(),
         }
     }
 
     pub(super) fn into_record(self, now: Moment) -> Record {
-        let strikes = self.strikes.iter().map(|told| {
-            let ended = now - Duration::from_millis(told.ended_millis_ago.into());
+        let strikes = self.strikes.iter().map(|encoded| {
+            let ended = now - Duration::from_millis(encoded.ended_millis_ago.into());
             Strike {
-                leaf: told.leaf,
-                sent: ended - Duration::from_millis(told.ran_millis.into()),
+                leaf: encoded.leaf,
+                sent: ended - Duration::from_millis(encoded.ran_millis.into()),
                 ended,
-                caller: told.caller,
+                caller: encoded.caller,
             }
         });
         Record {
-            clearings: self.clearings,
-            convictions: self.convictions,
-            until: now + Duration::from_millis(self.left_millis.into()),
+            times_cleared: self.times_cleared,
+            times_quarantined: self.times_quarantined,
+            quarantined_until: now + Duration::from_millis(self.quarantine_left_millis.into()),
             strikes: strikes.collect(),
             changed: now,
         }
--- a/crates/tansylead-route/src/quarantine/mod.rs
+++ b/crates/tansylead-route/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that end the leafs which run them ("queries of death").
+//! Quarantine of requests that crash the leafs which run them ("queries of death").
 //!
-//! A leaf that ends while a request runs there is a strike against the request. Whoever holds enough strikes
-//! refuses the request; daemons tell one another what they hold, so that a request that comes again at any
-//! daemon is known there. Any answer of a leaf clears the request.
+//! A leaf that ends while it runs a request counts as a strike against the request. A daemon that holds enough
+//! strikes refuses the request. Daemons exchange their records, so that each recognizes a request that others
+//! have seen. Any answer of a leaf clears the request.
 
 mod fingerprint;
 mod message;
--- a/crates/tansylead-route/src/quarantine/record.rs
+++ b/crates/tansylead-route/src/quarantine/record.rs
@@ -1,100 +1,103 @@
-//! What is known of one request under which leafs ended, and what follows from it.
+//! Record of the strikes against one request, and the verdict that follows from them.
 
 use super::fingerprint::FingerprintScope;
-use super::strike::{Strike, events, successive};
+use super::strike::{Strike, count_events, count_successive};
 use std::collections::HashSet;
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Leafs that ended under a request before it is sent with care: one may end for any reason.
-const SUSPECT_LEAFS: usize = 2;
-/// Leafs that ended, one run after the other, before a request is refused. An innocent request runs on a leaf
-/// that ends meanwhile with a probability of a few in a hundred even while many leafs crash, so three in a row
-/// are a few in 100,000; and two may be one event that strikes all leafs.
+/// Strikes from which on a request is suspect: a single leaf may end for any reason.
+const SUSPECT_STRIKES: usize = 2;
+/// Successive strikes needed to quarantine a request. Even while many leafs crash, an innocent request meets a
+/// crashing leaf with a probability of a few in a hundred, so three in a row have one of a few in 100,000. Two may
+/// be one event that takes down all leafs.
 const QUARANTINE_RUNS: usize = 3;
-/// Callers under whose requests leafs ended before the same content is refused whoever sends it: with one it
-/// may be the caller.
-const CALLERS_FOR_CONTENT: usize = 2;
-/// Strikes kept of runs that went on at the same time: more of one event say nothing more.
-const STRIKES_OF_ONE_EVENT: usize = 3;
-/// Strikes kept in all.
+/// Callers that must have strikes before the same content is refused from every caller. With one, the fault may lie
+/// with that caller.
+const CONTENT_SCOPE_CALLERS: usize = 2;
+/// Most strikes kept of overlapping runs, as further ones of the same event add no information.
+const MAXIMUM_STRIKES_PER_EVENT: usize = 3;
+/// Most strikes kept of one request.
 const MAXIMUM_STRIKES: usize = 16;
-/// Events that these runs belong to, at least: a request that runs beside the cause of one is struck again and
-/// again while it lasts, and answered before the next.
+/// Events that the successive strikes must span. A request that merely runs beside the cause of one event may be
+/// struck several times during it, but is answered before the next.
 const QUARANTINE_EVENTS: usize = 2;
-/// How long a request is refused after its first conviction; twice as long after each further one. Then it is
-/// tried at one leaf: who was convicted wrongly is served again, and the cause ends one leaf.
-const FIRST_QUARANTINE: Duration = Duration::from_secs(120);
-/// Doublings of that time at most, to about an hour.
+/// Length of the first quarantine; each further one is twice as long. Afterwards the request is tried on one leaf:
+/// a request that was quarantined wrongly is served again, and a fatal one ends a single leaf.
+const INITIAL_QUARANTINE: Duration = Duration::from_secs(120);
+/// Most doublings of the quarantine, which is then about an hour long.
 const MAXIMUM_DOUBLINGS: u32 = 5;
-/// A request that was quarantined is remembered this long after the end of its quarantine.
-const CONVICTED_MEMORY: Duration = Duration::from_secs(3_600);
-/// One that was not is remembered this long after its last strike.
-const STRIKE_MEMORY: Duration = Duration::from_secs(600);
-/// A cleared record is remembered this long, so that strikes which are still on their way do not count.
-const CLEARED_MEMORY: Duration = Duration::from_secs(60);
-
-/// What may be done with a request.
+/// How long a record is kept after the end of its last quarantine.
+const QUARANTINE_RETENTION: Duration = Duration::from_secs(3_600);
+/// How long a record without a quarantine is kept after its last strike.
+const STRIKE_RETENTION: Duration = Duration::from_secs(600);
+/// How long a cleared record is kept, so that strikes that are still in transit do not count.
+const CLEARED_RETENTION: Duration = Duration::from_secs(60);
+
+/// How a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// Anything.
+    /// Without restrictions.
     Clear,
-    /// It may go to one leaf at a time.
+    /// To one leaf at a time.
     Suspect,
-    /// It may go to none, for so long.
+    /// To no leaf, for this remaining time.
     Quarantined(Duration),
 }
 
-/// One request.
+/// Strikes and quarantines of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(super) struct Record {
-    /// How often a leaf answered the request after others had ended: what came before counts for nothing.
-    pub(super) clearings: u32,
-    /// How often it was quarantined since.
-    pub(super) convictions: u32,
-    /// Until when it is refused, if it was ever quarantined.
-    pub(super) until: Moment,
+    /// How often the request was answered after leafs had ended under it. Each time, all earlier strikes and
+    /// quarantines are dropped.
+    pub(super) times_cleared: u32,
+    /// Quarantines since the request was last cleared.
+    pub(super) times_quarantined: u32,
+    /// End of the last quarantine, if there was one.
+    pub(super) quarantined_until: Moment,
     pub(super) strikes: Vec<Strike>,
-    /// When anything was last learned.
+    /// When the record last changed.
     pub(super) changed: Moment,
 }
 
 impl Record {
     pub(super) fn verdict(&self, now: Moment, scope: FingerprintScope) -> Verdict {
-        if self.convictions > 0 && now < self.until {
-            Verdict::Quarantined(self.until.since(now))
-        } else if self.convictions > 0 || self.is_suspect(scope) {
+        if self.times_quarantined > 0 && now < self.quarantined_until {
+            Verdict::Quarantined(self.quarantined_until.since(now))
+        } else if self.times_quarantined > 0 || self.is_suspect(scope) {
             Verdict::Suspect
         } else {
             Verdict::Clear
         }
     }
 
-    /// One event is enough for care, but not with what comes from other callers.
+    /// Strikes of one event suffice, except in the content scope, which also applies to other callers.
     fn is_suspect(&self, scope: FingerprintScope) -> bool {
         match scope {
-            FingerprintScope::Exact | FingerprintScope::Path => self.strikes.len() >= SUSPECT_LEAFS,
+            FingerprintScope::Exact | FingerprintScope::Path => {
+                self.strikes.len() >= SUSPECT_STRIKES
+            }
             FingerprintScope::Content => self.successive_runs() > 1 && self.has_several_callers(),
         }
     }
 
     fn has_several_callers(&self) -> bool {
         let callers: HashSet<u32> = self.strikes.iter().map(|strike| strike.caller).collect();
-        callers.len() >= CALLERS_FOR_CONTENT
+        callers.len() >= CONTENT_SCOPE_CALLERS
     }
 
-    /// Adds a strike; returns whether it tells anything new.
+    /// Adds a strike; returns whether it was new and was kept.
     pub(super) fn add(&mut self, now: Moment, strike: Strike) -> bool {
         let is_known = self.strikes.iter().any(|known| known.leaf == strike.leaf);
         if is_known || self.strikes.len() >= MAXIMUM_STRIKES {
             return false;
         }
-        // Which strikes of one event are kept hangs on nothing but the leafs, so that daemons come to hold
-        // the same.
+        // Which strikes of one event are kept depends on nothing but the leafs, so that the records of all daemons
+        // converge.
         let overlapping = self.strikes.iter().filter(|known| known.overlaps(&strike));
-        let one_event: Vec<u64> = overlapping.map(|known| known.leaf).collect();
-        if one_event.len() >= STRIKES_OF_ONE_EVENT {
-            let greatest = one_event.into_iter().max().unwrap_or_default();
+        let same_event: Vec<u64> = overlapping.map(|known| known.leaf).collect();
+        if same_event.len() >= MAXIMUM_STRIKES_PER_EVENT {
+            let greatest = same_event.into_iter().max().unwrap_or_default();
             if strike.leaf > greatest {
                 return false;
             }
@@ -105,37 +108,37 @@
         true
     }
 
-    /// Leafs that ended one after the other.
+    /// Strikes of runs that followed one another.
     pub(super) fn successive_runs(&self) -> usize {
-        successive(&self.strikes)
+        count_successive(&self.strikes)
     }
 
-    /// Whether leafs ended under the request in more than one event: those that merely ran beside the cause
-    /// were struck once.
-    pub(super) fn is_serious(&self) -> bool {
-        self.convictions > 0 || self.successive_runs() > 1
+    /// Whether leafs ended under successive runs of the request. Requests that merely ran beside the cause were
+    /// struck once.
+    pub(super) fn is_likely_cause(&self) -> bool {
+        self.times_quarantined > 0 || self.successive_runs() > 1
     }
 
-    /// Whether the strikes convict the request.
-    pub(super) fn is_guilty(&self, scope: FingerprintScope) -> bool {
-        let is_of_caller = scope != FingerprintScope::Content;
-        let is_enough =
-            self.successive_runs() >= QUARANTINE_RUNS && events(&self.strikes) >= QUARANTINE_EVENTS;
-        is_enough && (is_of_caller || self.has_several_callers())
+    /// Whether the strikes are enough to quarantine the request.
+    pub(super) fn warrants_quarantine(&self, scope: FingerprintScope) -> bool {
+        let is_one_caller = scope != FingerprintScope::Content;
+        let is_enough = self.successive_runs() >= QUARANTINE_RUNS
+            && count_events(&self.strikes) >= QUARANTINE_EVENTS;
+        is_enough && (is_one_caller || self.has_several_callers())
     }
 
-    /// Quarantines the request, once more if it was before.
-    pub(super) fn convict(&mut self, now: Moment) {
-        self.convictions = self.convictions.saturating_add(1);
-        let doublings = (self.convictions - 1).min(MAXIMUM_DOUBLINGS);
-        self.until = now + FIRST_QUARANTINE * 2_u32.pow(doublings);
+    /// Quarantines the request, for longer than the time before.
+    pub(super) fn quarantine(&mut self, now: Moment) {
+        self.times_quarantined = self.times_quarantined.saturating_add(1);
+        let doublings = (self.times_quarantined - 1).min(MAXIMUM_DOUBLINGS);
+        self.quarantined_until = now + INITIAL_QUARANTINE * 2_u32.pow(doublings);
         self.changed = now;
     }
 
-    /// A leaf has answered the request: it did not end the others.
+    /// Drops all strikes and quarantines, as a leaf has answered the request.
     pub(super) fn clear(&mut self, now: Moment) {
         *self = Self {
-            clearings: self.clearings.saturating_add(1),
+            times_cleared: self.times_cleared.saturating_add(1),
             changed: now,
             ..Self::default()
         };
@@ -143,42 +146,42 @@
 
     /// Whether nothing is held against the request.
     pub(super) fn is_cleared(&self) -> bool {
-        self.convictions == 0 && self.strikes.is_empty()
+        self.times_quarantined == 0 && self.strikes.is_empty()
     }
 
     pub(super) fn is_expired(&self, now: Moment) -> bool {
-        let memory = match self.convictions {
-            0 if self.strikes.is_empty() => CLEARED_MEMORY,
-            0 => STRIKE_MEMORY,
-            _ => CONVICTED_MEMORY,
+        let retention = match self.times_quarantined {
+            0 if self.strikes.is_empty() => CLEARED_RETENTION,
+            0 => STRIKE_RETENTION,
+            _ => QUARANTINE_RETENTION,
         };
-        now.since(self.changed.max(self.until)) > memory
+        now.since(self.changed.max(self.quarantined_until)) > retention
     }
 
-    /// Takes in what another daemon holds of the same request; returns whether that tells anything new.
+    /// Merges another daemon's record of the same request; returns whether it contained anything new.
     pub(super) fn merge(&mut self, now: Moment, other: Record) -> bool {
-        if other.clearings < self.clearings {
+        if other.times_cleared < self.times_cleared {
             return false;
         }
-        if other.clearings > self.clearings {
+        if other.times_cleared > self.times_cleared {
             *self = Record {
                 changed: now,
                 ..other
             };
             return true;
         }
-        let is_later = other.convictions > self.convictions;
+        let is_later = other.times_quarantined > self.times_quarantined;
         if is_later {
-            self.convictions = other.convictions;
+            self.times_quarantined = other.times_quarantined;
             self.changed = now;
         }
-        if other.convictions == self.convictions {
-            self.until = self.until.max(other.until);
+        if other.times_quarantined == self.times_quarantined {
+            self.quarantined_until = self.quarantined_until.max(other.quarantined_until);
         }
-        let mut is_news = is_later;
+        let mut has_news = is_later;
         for strike in other.strikes {
-            is_news |= self.add(now, strike);
+            has_news |= self.add(now, strike);
         }
-        is_news
+        has_news
     }
 }
--- a/crates/tansylead-route/src/quarantine/strike.rs
+++ b/crates/tansylead-route/src/quarantine/strike.rs
@@ -1,29 +1,29 @@
-//! One leaf that ended while a request ran there, and how many of such runs were trials of their own.
+//! Strikes: leafs that ended while they ran a request, and how many independent failures they stand for.
 
 use crate::leaf::LeafRun;
 use std::time::Duration;
 use tansylead_types::Moment;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Times that another daemon tells are late by the way of its message: two runs count as one after the other
-/// if they overlap by no more than this, and by no more than half of either.
-const WAY_TOLERANCE: Duration = Duration::from_millis(25);
+/// Times received from other daemons are late by the transit time of the message. So two runs count as successive
+/// even if they overlap by up to this time, but by no more than half of the shorter run.
+const TRANSIT_TOLERANCE: Duration = Duration::from_millis(25);
 
-/// A leaf that ended while a request ran there.
+/// A leaf that ended while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Strike {
-    /// Hash of the run of the leaf.
+    /// Hash of the leaf's id and start, so that each restart counts as another leaf.
     pub leaf: u64,
-    /// When the request was sent there.
+    /// When the request was sent to the leaf.
     pub sent: Moment,
-    /// When the connection was lost.
+    /// When the connection to the leaf was lost.
     pub ended: Moment,
-    /// Hash of the caller.
+    /// Hash of the caller's address.
     pub caller: u32,
 }
 
 impl Strike {
-    /// A strike at a leaf.
+    /// Creates the strike for a request that was lost with this run of a leaf.
     pub fn new(leaf: &LeafRun, sent: Moment, ended: Moment, caller: u32) -> Self {
         let started = leaf.started.map_or(0, |started| started.0);
         Self {
@@ -34,45 +34,47 @@
         }
     }
 
-    /// Whether this run began when that of `earlier` was over.
+    /// Whether the request was sent only after the run of `earlier` had ended.
     fn follows(&self, earlier: &Strike) -> bool {
-        let shorter = self.length().min(earlier.length());
-        let tolerance = WAY_TOLERANCE.min(shorter / 2);
+        let shorter = self.duration().min(earlier.duration());
+        let tolerance = TRANSIT_TOLERANCE.min(shorter / 2);
         self.sent + tolerance >= earlier.ended
     }
 
-    /// Whether both runs went on at the same time.
+    /// Whether the two runs overlapped in time.
     pub(super) fn overlaps(&self, other: &Strike) -> bool {
         !self.follows(other) && !other.follows(self)
     }
 
-    fn length(&self) -> Duration {
+    fn duration(&self) -> Duration {
         self.ended.since(self.sent)
     }
 }
 
-/// Leafs that end within this time of each other have most likely one cause, such as a zone that is lost or
-/// another request that is sent again and again: it is over before leafs are back.
-const EVENT_LENGTH: Duration = Duration::from_secs(1);
+/// Leafs that end within this time of each other most likely have one cause, such as the loss of a zone or another
+/// request that is sent repeatedly. Such a cause is over before the leafs have restarted.
+const EVENT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Events that the strikes belong to: each begins a while after the first strike of the one before.
-pub(super) fn events(strikes: &[Strike]) -> usize {
+/// Counts the events that the strikes belong to. An event covers the runs sent less than [`EVENT_WINDOW`] after the
+/// end of its first strike.
+pub(super) fn count_events(strikes: &[Strike]) -> usize {
     let mut by_end = strikes.to_vec();
     by_end.sort_by_key(|strike| strike.ended);
-    let mut begun: Option<Moment> = None;
+    let mut event_began: Option<Moment> = None;
     let mut count = 0;
     for strike in by_end {
-        if begun.is_none_or(|begun| strike.sent.since(begun) >= EVENT_LENGTH) {
+        if event_began.is_none_or(|event_began| strike.sent.since(event_began) >= EVENT_WINDOW) {
             count += 1;
-            begun = Some(strike.ended);
+            event_began = Some(strike.ended);
         }
     }
     count
 }
 
-/// Most strikes of which each began when the one before was over: leafs that end together, under a query over
-/// shards or because a zone is lost, are one event, and only the next run tells whether the request caused it.
-pub(super) fn successive(strikes: &[Strike]) -> usize {
+/// Counts the longest sequence of strikes in which each run began after the one before had ended. Leafs that end
+/// together, under a query over shards or with their zone, are one event, and only the next run shows whether the
+/// request was the cause.
+pub(super) fn count_successive(strikes: &[Strike]) -> usize {
     let mut by_end = strikes.to_vec();
     by_end.sort_by_key(|strike| strike.ended);
     let mut last: Option<Strike> = None;
--- a/crates/tansylead-route/src/quarantine/table.rs
+++ b/crates/tansylead-route/src/quarantine/table.rs
@@ -1,8 +1,8 @@
-//! The requests under which leafs ended, as one daemon knows them. Bounded: what is least is forgotten first.
+//! One daemon's quarantine table. It is bounded; the least important records are evicted first.
 //!
-//! Invariants: a request is refused only after leafs ended under it in several runs, each of which began when
-//! the one before was over, and while none of its runs since was answered; daemons that hold the same records
-//! give the same verdicts.
+//! Invariants: a request is refused only after leafs ended under several of its runs, each of which began after
+//! the one before had ended, and only as long as no later run was answered; daemons with the same records give the
+//! same verdicts.
 
 use super::fingerprint::{FingerprintScope, RequestFingerprint, RequestFingerprints};
 use super::message::QuarantineRecord;
@@ -13,26 +13,26 @@
 use tansylead_types::Moment;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Requests remembered: some 100 kB at most.
+/// Most requests with a record, which takes some 100 kB at most.
 pub const MAXIMUM_RECORDS: usize = 256;
 
-/// How a verdict has changed.
+/// What a change of a record means for the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// More is known; the verdict is as before.
+    /// The record has changed, the verdict has not.
     Learned,
-    /// The request is sent with care from now on.
+    /// The request is suspect from now on.
     Suspected,
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Quarantined,
-    /// A leaf has answered it.
+    /// A leaf has answered the request.
     Cleared,
-    /// Another daemon holds it against requests of which one was answered here.
+    /// Another daemon has a record against similar requests of which one was answered here.
     Contradicted,
 }
 
 impl QuarantineChange {
-    /// Name, for logs.
+    /// Name in logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Learned => "learned",
@@ -44,25 +44,25 @@
     }
 }
 
-/// Requests by verdict.
+/// Number of requests by verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct QuarantineCounts {
-    /// Sent with care.
+    /// Requests that may be sent to one leaf at a time.
     pub suspects: usize,
-    /// Refused.
+    /// Requests that are refused.
     pub quarantined: usize,
 }
 
-/// The table.
+/// Quarantine table of one daemon.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     records: HashMap<RequestFingerprint, Record>,
-    /// Requests that are like these were answered lately: nothing is held against all that are alike.
+    /// Fingerprints in the wider scopes of requests that were answered recently. No record is kept against these.
     answered: RecentAnswers,
 }
 
 impl Quarantine {
-    /// What may be done with a request.
+    /// The verdict on one fingerprint.
     pub fn verdict(&self, now: Moment, fingerprint: RequestFingerprint) -> Verdict {
         let record = self.records.get(&fingerprint);
         record.map_or(Verdict::Clear, |record| {
@@ -70,44 +70,44 @@
         })
     }
 
-    /// What may be done with a request, by all that is held against it and those like it.
-    pub fn verdict_on(&self, now: Moment, request: &RequestFingerprints) -> Verdict {
+    /// The strictest of the verdicts on a request's fingerprints.
+    pub fn strictest_verdict(&self, now: Moment, request: &RequestFingerprints) -> Verdict {
         let verdicts = request.all().map(|own| self.verdict(now, own));
         verdicts.into_iter().max().unwrap_or(Verdict::Clear)
     }
 
-    /// Notes that requests like this one are answered.
+    /// Notes an answer, which speaks for all similar requests.
     pub fn note_answered(&mut self, now: Moment, request: &RequestFingerprints) {
         self.answered.add(now, request.path);
         self.answered.add(now, request.content);
     }
 
-    /// Whether a request with this fingerprint was answered here lately, where that clears all that are alike. One
-    /// and the same request may have come to end leafs since it was answered.
-    fn is_known_good(&mut self, now: Moment, fingerprint: RequestFingerprint) -> bool {
+    /// Whether a similar request was answered here recently. Always false in the exact scope, as one and the same
+    /// request may have become fatal since it was answered.
+    fn was_similar_answered(&mut self, now: Moment, fingerprint: RequestFingerprint) -> bool {
         let is_wide = fingerprint.scope() != FingerprintScope::Exact;
         is_wide && self.answered.contains(now, fingerprint)
     }
 
-    /// Whether leafs ended under a request in more than one event. Of the others there are many whenever a leaf
-    /// ends, and few come again.
-    pub fn is_serious(&self, fingerprint: RequestFingerprint) -> bool {
+    /// Whether leafs ended under successive runs of a request. Each leaf that ends gives a strike to many other
+    /// requests, few of which are repeated.
+    pub fn is_likely_cause(&self, fingerprint: RequestFingerprint) -> bool {
         let record = self.records.get(&fingerprint);
-        record.is_some_and(Record::is_serious)
+        record.is_some_and(Record::is_likely_cause)
     }
 
-    /// Whether nothing is held of any request.
+    /// Whether the table has no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether a request was quarantined, and not cleared since.
-    pub fn was_convicted(&self, fingerprint: RequestFingerprint) -> bool {
+    /// Whether a request was quarantined and has not been cleared since.
+    pub fn was_quarantined(&self, fingerprint: RequestFingerprint) -> bool {
         let record = self.records.get(&fingerprint);
-        record.is_some_and(|record| record.convictions > 0)
+        record.is_some_and(|record| record.times_quarantined > 0)
     }
 
-    /// Requests that are quarantined now.
+    /// Fingerprints that are quarantined now.
     pub fn quarantined(&self, now: Moment) -> Vec<RequestFingerprint> {
         let records = self.records.iter();
         let is_quarantined = |(fingerprint, record): &(&RequestFingerprint, &Record)| {
@@ -118,7 +118,7 @@
         quarantined.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
-    /// Requests by verdict.
+    /// Counts the records by verdict.
     pub fn counts(&self, now: Moment) -> QuarantineCounts {
         let mut counts = QuarantineCounts::default();
         for (fingerprint, record) in &self.records {
@@ -131,20 +131,20 @@
         counts
     }
 
-    /// Notes that a leaf ended while a request ran there. Returns what changed, if anything.
+    /// Adds a strike. Returns what changed, if anything.
     pub fn on_strike(
         &mut self,
         now: Moment,
         fingerprint: RequestFingerprint,
         strike: Strike,
     ) -> Option<QuarantineChange> {
-        if self.is_known_good(now, fingerprint) {
+        if self.was_similar_answered(now, fingerprint) {
             return None;
         }
         self.update(now, fingerprint, |record| record.add(now, strike))
     }
 
-    /// Notes that a leaf answered a request. Returns what changed, if anything.
+    /// Clears a request that a leaf has answered. Returns what changed, if anything.
     pub fn on_answer(
         &mut self,
         now: Moment,
@@ -158,27 +158,27 @@
         Some(QuarantineChange::Cleared)
     }
 
-    /// Takes in a request that was quarantined before this daemon started, as the source tells.
+    /// Restores the quarantine of a request that the source reports from before this daemon started.
     pub fn restore(
         &mut self,
         now: Moment,
         fingerprint: RequestFingerprint,
     ) -> Option<QuarantineChange> {
         self.update(now, fingerprint, |record| {
-            let is_news = record.convictions == 0 && record.clearings == 0;
-            if is_news {
-                record.convict(now);
+            let has_news = record.times_quarantined == 0 && record.times_cleared == 0;
+            if has_news {
+                record.quarantine(now);
             }
-            is_news
+            has_news
         })
     }
 
-    /// Takes in what another daemon holds. Returns what changed, if anything.
-    pub fn merge(&mut self, now: Moment, told: QuarantineRecord) -> Option<QuarantineChange> {
-        let fingerprint = told.fingerprint;
-        let other = told.into_record(now);
+    /// Merges another daemon's record. Returns what changed, if anything.
+    pub fn merge(&mut self, now: Moment, received: QuarantineRecord) -> Option<QuarantineChange> {
+        let fingerprint = received.fingerprint;
+        let other = received.into_record(now);
         let is_cleared = other.is_cleared();
-        if !is_cleared && self.is_known_good(now, fingerprint) {
+        if !is_cleared && self.was_similar_answered(now, fingerprint) {
             return self.contradict(now, fingerprint, other);
         }
         if is_cleared && !self.records.contains_key(&fingerprint) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Clears what another daemon holds against requests of which one was answered here.
+    /// Clears another daemon's record against similar requests of which one was answered here.
     fn contradict(
         &mut self,
         now: Moment,
@@ -199,10 +199,10 @@
         mut other: Record,
     ) -> Option<QuarantineChange> {
         if self.records.len() >= MAXIMUM_RECORDS && !self.records.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict_least_important();
         }
         let record = self.records.entry(fingerprint).or_default();
-        if record.clearings > other.clearings {
+        if record.times_cleared > other.times_cleared {
             return None;
         }
         other.clear(now);
@@ -210,45 +210,47 @@
         Some(QuarantineChange::Contradicted)
     }
 
-    /// What is held of one request, to be told to others.
+    /// The record of one request, to be sent to other daemons.
     pub fn record(&self, now: Moment, fingerprint: RequestFingerprint) -> Option<QuarantineRecord> {
         let record = self.records.get(&fingerprint)?;
         Some(QuarantineRecord::new(now, fingerprint, record))
     }
 
-    /// What is held of the requests that matter most, and which of them are cleared, to be told to others.
+    /// The most important records, including cleared ones, to be sent to other daemons.
     pub fn most_important(&self, now: Moment, limit: usize) -> Vec<QuarantineRecord> {
-        let is_told = |record: &Record| record.is_serious() || record.is_cleared();
+        let is_worth_sending = |record: &Record| record.is_likely_cause() || record.is_cleared();
         let records = self.records.iter();
-        let mut records: Vec<_> = records.filter(|(_, record)| is_told(record)).collect();
+        let mut records: Vec<_> = records
+            .filter(|(_, record)| is_worth_sending(record))
+            .collect();
         records.sort_by_key(|(_, record)| std::cmp::Reverse(importance(record)));
-        let told = records.into_iter().take(limit);
-        told.map(|(fingerprint, record)| QuarantineRecord::new(now, *fingerprint, record))
+        let sent = records.into_iter().take(limit);
+        sent.map(|(fingerprint, record)| QuarantineRecord::new(now, *fingerprint, record))
             .collect()
     }
 
-    /// A hash of what is held against serious suspects, but for times.
+    /// Hash of the records of likely causes without their times.
     pub fn digest(&self) -> u64 {
         let records = self.records.iter();
-        let records = records.filter(|(_, record)| record.is_serious());
+        let records = records.filter(|(_, record)| record.is_likely_cause());
         let hashes = records.map(|(fingerprint, record)| {
             let mut leafs: Vec<u64> = record.strikes.iter().map(|strike| strike.leaf).collect();
             leafs.sort_unstable();
             let mut bytes = fingerprint.0.to_le_bytes().to_vec();
-            bytes.extend(record.clearings.to_le_bytes());
-            bytes.extend(record.convictions.to_le_bytes());
+            bytes.extend(record.times_cleared.to_le_bytes());
+            bytes.extend(record.times_quarantined.to_le_bytes());
             bytes.extend(leafs.into_iter().flat_map(u64::to_le_bytes));
             xxh3_64(&bytes)
         });
         hashes.fold(0, |digest, hash| digest ^ hash)
     }
 
-    /// Forgets what is old. Returns the requests among that which had been quarantined.
-    pub fn forget_old(&mut self, now: Moment) -> Vec<RequestFingerprint> {
+    /// Removes expired records. Returns the fingerprints of those that had been quarantined.
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<RequestFingerprint> {
         let mut forgotten = Vec::new();
         self.records.retain(|fingerprint, record| {
             let is_expired = record.is_expired(now);
-            if is_expired && record.convictions > 0 {
+            if is_expired && record.times_quarantined > 0 {
                 forgotten.push(*fingerprint);
             }
             !is_expired
@@ -263,18 +265,18 @@
         change: impl FnOnce(&mut Record) -> bool,
     ) -> Option<QuarantineChange> {
         if !self.records.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict_least_important();
         }
         let record = self.records.entry(fingerprint).or_default();
         let before = record.verdict(now, fingerprint.scope());
-        let had_convictions = record.convictions;
-        let is_news = change(record);
-        let gained_conviction = record.convictions > had_convictions;
-        if !is_news {
+        let times_quarantined_before = record.times_quarantined;
+        let has_news = change(record);
+        let is_newly_quarantined = record.times_quarantined > times_quarantined_before;
+        if !has_news {
             return None;
         }
-        if !gained_conviction {
-            self.judge(now, fingerprint, before);
+        if !is_newly_quarantined {
+            self.quarantine_if_warranted(now, fingerprint, before);
         }
         match (before, self.verdict(now, fingerprint)) {
             (Verdict::Quarantined(_), Verdict::Quarantined(_)) => Some(QuarantineChange::Learned),
@@ -284,19 +286,25 @@
         }
     }
 
-    /// Convicts a request if its strikes do, or if a leaf ended under it again after its quarantine.
-    fn judge(&mut self, now: Moment, fingerprint: RequestFingerprint, before: Verdict) {
+    /// Quarantines a request if its strikes warrant it, or if a leaf ended under it again after its quarantine.
+    fn quarantine_if_warranted(
+        &mut self,
+        now: Moment,
+        fingerprint: RequestFingerprint,
+        before: Verdict,
+    ) {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
         };
-        let is_again = record.convictions > 0 && before == Verdict::Suspect;
-        let is_first = record.convictions == 0 && record.is_guilty(fingerprint.scope());
+        let is_again = record.times_quarantined > 0 && before == Verdict::Suspect;
+        let is_first =
+            record.times_quarantined == 0 && record.warrants_quarantine(fingerprint.scope());
         if !record.is_cleared() && (is_again || is_first) {
-            record.convict(now);
+            record.quarantine(now);
         }
     }
 
-    fn make_room(&mut self) {
+    fn evict_least_important(&mut self) {
         if self.records.len() < MAXIMUM_RECORDS {
             return;
         }
@@ -310,8 +318,8 @@
     }
 }
 
-/// What is forgotten last, and told first.
+/// Sort key of a record: the greatest are evicted last and sent first.
 fn importance(record: &Record) -> (bool, usize, Moment) {
     let runs = record.successive_runs();
-    (record.convictions > 0, runs, record.changed)
+    (record.times_quarantined > 0, runs, record.changed)
 }
--- a/crates/tansylead-route/tests/quarantine.rs
+++ b/crates/tansylead-route/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused because leafs end under them, and which must not be.
+//! Which requests the quarantine refuses, and which it must not refuse.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -8,19 +8,20 @@
 };
 use tansylead_types::{LeafId, Moment};
 
-/// Of exact scope: the two lowest bits are 0.
+/// A fingerprint of exact scope: its two lowest bits are 0.
 const FATAL: RequestFingerprint = RequestFingerprint(4);
 const INNOCENT: RequestFingerprint = RequestFingerprint(8);
 const CALLER: u32 = 1;
+/// Duration of each run, in milliseconds.
 const RUN: u64 = 30;
-/// Time between two runs: three of them are more than one event.
+/// Time between two runs, in milliseconds: three of them span more than one event.
 const STEP: u64 = 600;
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(1_000_000 + millis)
 }
 
-/// A run at a leaf of this number that was sent at `sent` and ended with it.
+/// Strike of the leaf with this number, under a request that was sent to it at `sent`.
 fn strike(leaf: usize, sent: u64) -> Strike {
     let leaf = LeafId::new(format!("i-{leaf}")).expect("valid name");
     Strike::new(&leaf.into(), at(sent), at(sent + RUN), CALLER)
@@ -56,7 +57,7 @@
     assert_eq!(table.verdict(at(100), FATAL), Verdict::Suspect);
     table.on_strike(at(200), FATAL, strike(10, 100));
     assert_eq!(table.verdict(at(200), FATAL), Verdict::Suspect);
-    // One run after the other, but still of the same second.
+    // Successive runs, but still within the same second.
     for run in 2..6 {
         table.on_strike(
             at(run * 100 + RUN),
@@ -75,15 +76,15 @@
     let mut there = Quarantine::default();
     here.on_strike(at(RUN), INNOCENT, strike(0, 0));
     here.on_strike(at(100 + RUN), INNOCENT, strike(1, 100));
-    let told = here.record(at(200), INNOCENT).expect("held");
-    there.merge(at(210), told.clone());
+    let struck_record = here.record(at(200), INNOCENT).expect("held");
+    there.merge(at(210), struck_record.clone());
     assert_eq!(there.verdict(at(210), INNOCENT), Verdict::Suspect);
     let cleared = here.on_answer(at(300), INNOCENT);
     assert_eq!(cleared, Some(QuarantineChange::Cleared));
-    let word = here.record(at(300), INNOCENT).expect("remembered");
-    let change = there.merge(at(310), word);
+    let cleared_record = here.record(at(300), INNOCENT).expect("remembered");
+    let change = there.merge(at(310), cleared_record);
     assert_eq!(change, Some(QuarantineChange::Cleared));
-    assert_eq!(there.merge(at(320), told), None);
+    assert_eq!(there.merge(at(320), struck_record), None);
     assert_eq!(there.verdict(at(320), INNOCENT), Verdict::Clear);
     assert_eq!(here.on_answer(at(330), INNOCENT), None);
 }
@@ -91,13 +92,13 @@
 #[test]
 fn a_request_that_is_struck_all_through_one_event_is_not_convicted_by_it() {
     let mut table = Quarantine::default();
-    // Another request ends one leaf after the other for most of a second; this one is on each of them.
+    // Another request ends one leaf after the other for most of a second, and this one runs on each of them.
     for run in 0..9 {
         let sent = run as u64 * 100;
         table.on_strike(at(sent + RUN), INNOCENT, strike(run, sent));
     }
     assert_eq!(table.verdict(at(1_000), INNOCENT), Verdict::Suspect);
-    // Leafs are back and answer it; when the other comes again, it is struck again.
+    // The leafs restart and answer it; when the other request is repeated, it is struck again.
     table.on_answer(at(2_000), INNOCENT);
     for run in 0..9 {
         let sent = 4_000 + run as u64 * 100;
@@ -114,13 +115,13 @@
         table.on_strike(at(sent + RUN), FATAL, strike(run, sent));
     }
     let now = at(2_000);
-    let words: Vec<_> = tables
+    let records: Vec<_> = tables
         .iter()
         .filter_map(|table| table.record(now, FATAL))
         .collect();
     for table in &mut tables {
-        for word in &words {
-            table.merge(now, word.clone());
+        for record in &records {
+            table.merge(now, record.clone());
         }
         assert!(is_quarantined(table, now, FATAL));
     }
@@ -151,18 +152,22 @@
         let sent = run as u64 * 100;
         table.on_strike(at(sent + RUN), FATAL, strike(run, sent));
     }
-    // Each ran on many leafs that ended together, and does not come again.
+    // Each ran on many leafs that ended together, and is not repeated.
     for victim in 0..100 {
         let request = RequestFingerprint((1_000 + victim as u128) << 2);
         for leaf in 0..6 {
             table.on_strike(at(200 + RUN), request, strike(100 + leaf, 200));
         }
     }
-    let told = table.most_important(at(300), TOLD);
-    assert!(told.iter().any(|record| record.fingerprint == FATAL));
-    // One that lacks the victims, which will not come again, lacks nothing that matters.
+    let sent_records = table.most_important(at(300), TOLD);
+    assert!(
+        sent_records
+            .iter()
+            .any(|record| record.fingerprint == FATAL)
+    );
+    // The digest leaves the victims out, so a daemon without their records is up to date.
     let mut other = Quarantine::default();
-    for record in told {
+    for record in sent_records {
         other.merge(at(310), record);
     }
     assert_eq!(other.digest(), table.digest());
@@ -219,8 +224,8 @@
     }
     assert!(is_quarantined(&table, at(1_500), FATAL));
     let hour = Duration::from_secs(3_600);
-    assert!(table.forget_old(at(1_500) + hour / 2).is_empty());
-    assert_eq!(table.forget_old(at(1_500) + hour * 8), vec![FATAL]);
+    assert!(table.remove_expired(at(1_500) + hour / 2).is_empty());
+    assert_eq!(table.remove_expired(at(1_500) + hour * 8), vec![FATAL]);
     assert!(table.is_empty());
 }
 
@@ -271,7 +276,7 @@
     }
 }
 
-/// A request of this caller with this query; all have one path.
+/// A request of this caller with this query; all have the same path.
 fn with_query(caller: u8, query: usize) -> RequestFingerprints {
     let target = format!("/a?page={query}");
     let identity = RequestIdentity {
@@ -284,8 +289,8 @@
     identity.fingerprints()
 }
 
-/// Runs a request on so many leafs in turn, each of which ends.
-fn strike_in_turn(table: &mut Quarantine, requests: &[RequestFingerprints]) {
+/// Runs the requests one after the other, each on another leaf that ends under it.
+fn strike_successively(table: &mut Quarantine, requests: &[RequestFingerprints]) {
     for (run, request) in requests.iter().enumerate() {
         let sent = run as u64 * STEP;
         let leaf = LeafId::new(format!("i-{run}")).expect("valid name");
@@ -300,11 +305,11 @@
 fn a_request_is_recognized_with_another_query() {
     let mut table = Quarantine::default();
     let requests: Vec<_> = (0..4).map(|query| with_query(1, query)).collect();
-    strike_in_turn(&mut table, &requests);
-    let verdict = table.verdict_on(at(2_500), &with_query(1, 9));
+    strike_successively(&mut table, &requests);
+    let verdict = table.strictest_verdict(at(2_500), &with_query(1, 9));
     assert!(matches!(verdict, Verdict::Quarantined(_)), "{verdict:?}");
-    // The same of another caller may be innocent.
-    let verdict = table.verdict_on(at(2_500), &with_query(2, 9));
+    // The same request of another caller may be harmless.
+    let verdict = table.strictest_verdict(at(2_500), &with_query(2, 9));
     assert_eq!(verdict, Verdict::Clear);
 }
 
@@ -313,8 +318,8 @@
     let mut table = Quarantine::default();
     let callers = [1, 2, 1, 2];
     let requests: Vec<_> = callers.map(|caller| with_query(caller, 1)).to_vec();
-    strike_in_turn(&mut table, &requests);
-    let verdict = table.verdict_on(at(2_500), &with_query(3, 1));
+    strike_successively(&mut table, &requests);
+    let verdict = table.strictest_verdict(at(2_500), &with_query(3, 1));
     assert!(matches!(verdict, Verdict::Quarantined(_)), "{verdict:?}");
 }
 
@@ -323,21 +328,21 @@
     let mut table = Quarantine::default();
     table.note_answered(at(0), &with_query(1, 100));
     let requests: Vec<_> = (0..6).map(|query| with_query(1, query)).collect();
-    strike_in_turn(&mut table, &requests);
+    strike_successively(&mut table, &requests);
     assert_eq!(
-        table.verdict_on(at(4_000), &with_query(1, 9)),
+        table.strictest_verdict(at(4_000), &with_query(1, 9)),
         Verdict::Clear
     );
-    // Another daemon that has answered none learns it.
+    // Another daemon, which has not answered any, learns it.
     let mut other = Quarantine::default();
-    strike_in_turn(&mut other, &requests);
+    strike_successively(&mut other, &requests);
     let path = with_query(1, 0).path;
     let held = other.record(at(4_000), path).expect("held");
     let change = table.merge(at(4_000), held);
     assert_eq!(change, Some(QuarantineChange::Contradicted));
-    let word = table.record(at(4_000), path).expect("remembered");
+    let record = table.record(at(4_000), path).expect("remembered");
     assert_eq!(
-        other.merge(at(4_010), word),
+        other.merge(at(4_010), record),
         Some(QuarantineChange::Cleared)
     );
     assert_eq!(other.verdict(at(4_010), path), Verdict::Clear);
@@ -348,7 +353,7 @@
     let mut table = Quarantine::default();
     let request = with_query(1, 1);
     table.note_answered(at(0), &request);
-    strike_in_turn(&mut table, &[request; 4]);
+    strike_successively(&mut table, &[request; 4]);
     let verdict = table.verdict(at(2_500), request.exact);
     assert!(matches!(verdict, Verdict::Quarantined(_)), "{verdict:?}");
 }
@@ -363,9 +368,9 @@
     }
     let minute = Duration::from_secs(60);
     assert!((0..REQUESTS).all(|number| answers.contains(at(0) + minute, request(number))));
-    let mistaken = (REQUESTS..REQUESTS * 2)
+    let false_positives = (REQUESTS..REQUESTS * 2)
         .filter(|number| answers.contains(at(0) + minute, request(*number)));
-    assert!(mistaken.count() < REQUESTS / 1_000);
+    assert!(false_positives.count() < REQUESTS / 1_000);
     assert!(!answers.contains(at(0) + minute * 3, request(0)));
 }
 
