--- a/crates/tansylead-gateway/src/leaf/leaf_state.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_state.rs
@@ -118,9 +118,9 @@
         }
         let standing = self.standing.standing(now, grace);
         match self.versions.use_of(now, &self.entry()) {
-            VersionUse::Plain | VersionUse::Granted(_) => standing,
+            VersionUse::Unrestricted | VersionUse::Granted(_) => standing,
             VersionUse::LastResort => standing.max(Standing::LastResort),
-            VersionUse::NotGranted | VersionUse::Gone => Standing::Gone,
+            VersionUse::NotGranted | VersionUse::Excluded => Standing::Gone,
         }
     }
 
@@ -129,7 +129,7 @@
     /// entry went without a word is the last resort for `grace`.
     pub fn standing(&self, now: Moment, grace: Duration) -> Standing {
         match self.versions.use_of(now, &self.entry()) {
-            VersionUse::Gone => Standing::Gone,
+            VersionUse::Excluded => Standing::Gone,
             _ => self.standing.standing(now, grace),
         }
     }
--- a/crates/tansylead-gateway/src/roll_out/judge_metrics.rs
+++ b/crates/tansylead-gateway/src/roll_out/judge_metrics.rs
@@ -56,7 +56,7 @@
 }
 
 /// Stages that are told.
-const STAGES: [Stage; 4] = [Stage::Trial, Stage::Shift, Stage::Commit, Stage::Back];
+const STAGES: [Stage; 4] = [Stage::Trial, Stage::Shift, Stage::Commit, Stage::RollBack];
 
 /// Name of a conclusion, for logs and metrics.
 pub fn conclusion_label(conclusion: Conclusion) -> &'static str {
--- a/crates/tansylead-gateway/src/roll_out/service_versions.rs
+++ b/crates/tansylead-gateway/src/roll_out/service_versions.rs
@@ -74,15 +74,15 @@
         }
         let mut gate = self.gate.borrow_mut();
         match &entry.version {
-            Some(version) => gate.on_shown(version, entry.changed_at),
-            None => gate.on_shown_without_version(entry.changed_at),
+            Some(version) => gate.on_version_entry(version, entry.changed_at),
+            None => gate.on_entry_without_version(entry.changed_at),
         }
     }
 
     /// What a leaf may be used for by its version.
     pub fn use_of(&self, now: Moment, entry: &LeafEntry) -> VersionUse {
         if !self.context.follows_roll_outs() {
-            return VersionUse::Plain;
+            return VersionUse::Unrestricted;
         }
         let is_word_old = self.context.is_word_old(now);
         let gate = self.gate.borrow();
@@ -112,7 +112,7 @@
         let is_wanted = match stage {
             Stage::Trial => is_first,
             Stage::Shift => true,
-            Stage::Commit | Stage::Back => false,
+            Stage::Commit | Stage::RollBack => false,
         };
         let has_room = gate.sends_left(now) > u64::from(self.waiting.get());
         (is_wanted && has_room).then_some(stage)
@@ -132,7 +132,7 @@
     pub(crate) fn on_withheld(&self, now: Moment, entry: &LeafEntry) {
         let is_withheld = matches!(
             self.use_of(now, entry),
-            VersionUse::NotGranted | VersionUse::Gone
+            VersionUse::NotGranted | VersionUse::Excluded
         );
         if self.trial_stage(entry).is_some() && is_withheld {
             self.context.metrics.on_grant_gone();
--- a/crates/tansylead-gateway/src/state/roll_outs.rs
+++ b/crates/tansylead-gateway/src/state/roll_outs.rs
@@ -117,7 +117,7 @@
         let standing = {
             let before = self.standing_roll_outs.borrow();
             let mut memory = self.order_memory.borrow_mut();
-            memory.take_in(now, &before, &told, is_restored)
+            memory.reconcile(now, &before, &told, is_restored)
         };
         for service in self.services.borrow().values() {
             let order = standing.get(service.name());
--- a/crates/tansylead-gateway/tests/roll_out_attempts.rs
+++ b/crates/tansylead-gateway/tests/roll_out_attempts.rs
@@ -54,7 +54,7 @@
         (grant(Stage::Trial, 2), true),
         (grant(Stage::Commit, 0), true),
         (grant(Stage::Trial, 1), false),
-        (grant(Stage::Back, 100), false),
+        (grant(Stage::RollBack, 100), false),
         (expired, false),
     ];
     for (last, is_sent) in cases {
--- a/crates/tansylead-gateway/tests/roll_out_ends.rs
+++ b/crates/tansylead-gateway/tests/roll_out_ends.rs
@@ -31,7 +31,7 @@
 async fn a_version_that_was_rolled_back_gets_nothing_also_when_it_is_alone() {
     let fleet = Fleet::granted(Stage::Trial, 2).await;
     assert_eq!(fleet.send(1).await, (0, 1));
-    grant_to(&fleet.gateway, &service(), Stage::Back, 0);
+    grant_to(&fleet.gateway, &service(), Stage::RollBack, 0);
     assert_eq!(fleet.send(2).await, (2, 1));
     fleet.set_state(RollOutState::RolledBack, ENDED);
     fleet
--- a/crates/tansylead-gateway/tests/roll_out_reporter.rs
+++ b/crates/tansylead-gateway/tests/roll_out_reporter.rs
@@ -354,7 +354,10 @@
 
 #[test]
 fn reports_tell_judge_and_stage_and_the_first_conclusion_stays() {
-    for (concluded, other) in [(Stage::Commit, Stage::Back), (Stage::Back, Stage::Commit)] {
+    for (concluded, other) in [
+        (Stage::Commit, Stage::RollBack),
+        (Stage::RollBack, Stage::Commit),
+    ] {
         let mut daemon = Daemon::new();
         let first = daemon.next_report();
         assert_eq!((first.follows, first.stage, first.life), (None, None, LIFE));
--- a/crates/tansylead-route/src/roll_out/conclusion.rs
+++ b/crates/tansylead-route/src/roll_out/conclusion.rs
@@ -1,26 +1,27 @@
-//! What this judge has concluded, or another one, as the first report of it tells. Neither changes.
+//! The conclusion reached by this judge, or by another judge as first seen in a report. Neither changes afterwards.
 
 use super::grant::Stage;
 use super::verdict::{Conclusion, ConclusionReason};
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Time that each judge gives the one ranked before it to write. More than a write takes on a slow source.
-const TIME_TO_WRITE: Duration = Duration::from_millis(1_500);
+/// How long each judge leaves the one ranked before it to write the conclusion. Longer than a write to a slow source
+/// takes.
+const WRITE_TIME_PER_RANK: Duration = Duration::from_millis(1_500);
 
-/// A conclusion heard of.
+/// Another judge's conclusion, as seen in a report.
 #[derive(Debug, Clone, Copy)]
-struct HeardConclusion {
+struct ReportedConclusion {
     is_complete: bool,
     since: Moment,
 }
 
-impl HeardConclusion {
-    /// The conclusion that a stage tells of, if any.
+impl ReportedConclusion {
+    /// The conclusion that a reported stage implies, if any.
     fn of(now: Moment, stage: Stage) -> Option<Self> {
         let is_complete = match stage {
             Stage::Commit => true,
-            Stage::Back => false,
+            Stage::RollBack => false,
             Stage::Trial | Stage::Shift => return None,
         };
         Some(Self {
@@ -29,22 +30,22 @@
         })
     }
 
-    /// Whether the judges ranked before have had time to write it.
+    /// Whether the judges ranked before this one have had time to write the conclusion.
     fn is_due(self, now: Moment, rank: usize) -> bool {
-        let wait = TIME_TO_WRITE.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
+        let wait = WRITE_TIME_PER_RANK.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
         now.since(self.since) >= wait
     }
 
-    /// What daemons do.
+    /// The stage that follows from the conclusion.
     fn stage(self) -> Stage {
         if self.is_complete {
             Stage::Commit
         } else {
-            Stage::Back
+            Stage::RollBack
         }
     }
 
-    /// What is to be written.
+    /// The conclusion to write to the source.
     fn conclusion(self) -> Conclusion {
         if self.is_complete {
             Conclusion::Complete
@@ -54,38 +55,42 @@
     }
 }
 
-/// The conclusion that stands at this judge, if any.
+/// This judge's conclusion, its own or another judge's, if there is one.
 #[derive(Debug, Default)]
-pub(crate) struct Concluded {
+pub(crate) struct ConclusionState {
     own: Option<(Conclusion, ConclusionReason)>,
-    heard: Option<HeardConclusion>,
+    reported: Option<ReportedConclusion>,
 }
 
-impl Concluded {
-    /// Whether there is none yet.
+impl ConclusionState {
+    /// Whether there is no conclusion yet.
     pub(crate) fn is_open(&self) -> bool {
-        self.own.is_none() && self.heard.is_none()
+        self.own.is_none() && self.reported.is_none()
     }
 
-    /// This judge concludes.
+    /// Sets this judge's own conclusion.
     pub(crate) fn conclude(&mut self, conclusion: Conclusion, reason: ConclusionReason) {
         self.own = Some((conclusion, reason));
     }
 
-    /// Adopts what a reported stage tells of, at once: a daemon that was told so must not be told
-    /// otherwise. Returns the stage from now on, if that is news.
-    pub(crate) fn take_over(&mut self, now: Moment, stage: Option<Stage>) -> Option<Stage> {
+    /// Adopts the conclusion that a reported stage implies at once, as a daemon that acts on one conclusion must not
+    /// be granted the opposite. Returns the new stage if this changed anything.
+    pub(crate) fn adopt_reported(&mut self, now: Moment, stage: Option<Stage>) -> Option<Stage> {
         if !self.is_open() {
             return None;
         }
-        self.heard = stage.and_then(|stage| HeardConclusion::of(now, stage));
-        self.heard.map(HeardConclusion::stage)
+        self.reported = stage.and_then(|stage| ReportedConclusion::of(now, stage));
+        self.reported.map(ReportedConclusion::stage)
     }
 
-    /// What a judge of this rank is to write now.
-    pub(crate) fn write(&self, now: Moment, rank: usize) -> Option<(Conclusion, ConclusionReason)> {
-        let due = self.heard.filter(|heard| heard.is_due(now, rank));
-        let taken_over = due.map(|heard| (heard.conclusion(), ConclusionReason::TakenOver));
+    /// The conclusion that a judge of this rank has to write now, if any.
+    pub(crate) fn conclusion_to_write(
+        &self,
+        now: Moment,
+        rank: usize,
+    ) -> Option<(Conclusion, ConclusionReason)> {
+        let due = self.reported.filter(|reported| reported.is_due(now, rank));
+        let taken_over = due.map(|reported| (reported.conclusion(), ConclusionReason::TakenOver));
         self.own.or(taken_over)
     }
 }
--- a/crates/tansylead-route/src/roll_out/evidence.rs
+++ b/crates/tansylead-route/src/roll_out/evidence.rs
@@ -1,26 +1,26 @@
-//! What one daemon has seen of a roll-out: running totals of its life, so that a message that is lost,
-//! late or doubled does no harm.
+//! One daemon's counts for a roll-out. They are running totals since its start, so that lost, late and duplicate
+//! messages do no harm.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Buckets of latencies.
+/// Number of latency buckets.
 pub const LATENCY_BUCKETS: usize = 20;
 /// Upper end of the first bucket, in milliseconds.
 const FIRST_BUCKET_MILLIS: f64 = 1.0;
-/// How much wider each bucket reaches than the one before: fine enough to tell twice as slow, and the last
+/// Ratio of the upper ends of successive buckets. Fine enough to detect a version that is twice as slow; the last
 /// bucket begins above two seconds.
 const BUCKET_FACTOR: f64 = 1.5;
 
-/// Latencies counted in buckets that grow by a factor of 1.5 from one millisecond on.
+/// Histogram of latencies, with buckets that grow by a factor of 1.5 from one millisecond on.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LatencyCounts {
-    /// Answers in each bucket.
+    /// Number of answers in each bucket.
     pub counts: [u32; LATENCY_BUCKETS],
 }
 
-/// Hash of a route's name, for evidence.
+/// Hash of a route's name, which identifies the route in evidence.
 pub fn route_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
@@ -39,46 +39,46 @@
         self.counts[bucket] = self.counts[bucket].saturating_add(1);
     }
 
-    /// Answers in all buckets.
+    /// Number of answers in all buckets.
     pub fn total(&self) -> u64 {
         self.counts.iter().map(|count| u64::from(*count)).sum()
     }
 }
 
-/// What became of attempts on one route at the leafs of one side.
+/// Outcomes of attempts on one route, at leafs either of the target version or of other versions.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct VersionCounts {
     /// Good answers.
     pub good: u32,
-    /// Bad answers: errors of the leaf, answers that were cut off or cannot be understood, and none at all.
-    /// Not refusals of a leaf that did not run the request.
+    /// Failed attempts: errors of the leaf, truncated or malformed answers, and missing ones. Refusals of a leaf that
+    /// did not run the request are not counted.
     pub failed: u32,
-    /// Time from sending to a good answer, without the way there and back; not of leafs that were cold.
+    /// Time from sending to a good answer, less the network round trip; leafs in their cold start are left out.
     pub latencies: LatencyCounts,
 }
 
-/// The two sides on one route.
+/// Outcomes on one route, by version.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RouteEvidence {
     /// Hash of the route's name.
     pub route: u32,
-    /// At leafs of other versions.
+    /// Outcomes at leafs of other versions.
     pub old: VersionCounts,
-    /// At leafs of the target version.
+    /// Outcomes at leafs of the target version.
     pub new: VersionCounts,
 }
 
-/// What one daemon has seen since it knows of an order.
+/// One daemon's counts since it has known of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RollOutEvidence {
     /// Requests to the service of which at least one attempt was sent.
     pub requests: u64,
-    /// Sends to the target version, refused ones too.
+    /// Sends to the target version, including refused ones.
     pub new_sends: u64,
-    /// Attempts that run at leafs of other versions now.
+    /// Attempts in progress at leafs of other versions.
     pub running_on_old: u32,
-    /// Attempts that run at leafs of the target version now.
+    /// Attempts in progress at leafs of the target version.
     pub running_on_new: u32,
-    /// By route.
+    /// Outcomes of attempts, by route.
     pub routes: Vec<RouteEvidence>,
 }
--- a/crates/tansylead-route/src/roll_out/exposure.rs
+++ b/crates/tansylead-route/src/roll_out/exposure.rs
@@ -1,7 +1,7 @@
-//! Bound on sends to a version under trial, of all daemons together, and how it is handed out.
+//! Bound on the sends of all daemons to a version under trial, and the tokens that share it out.
 //!
-//! What is handed out counts as spent until a report from after its expiry shows what became of it. So
-//! whatever daemons do with their grants, they stay within the allowance.
+//! A token counts as spent until a report from after its expiry shows whether it was used. So all daemons together
+//! stay within the allowance, whatever they do with their grants.
 
 use super::grant::Grant;
 use super::grant::Stage;
@@ -11,44 +11,44 @@
 use std::time::Duration;
 use tansylead_types::{Moment, NodeId};
 
-/// Part of the bound that is handed out. The rest covers what another judge granted unseen.
-const USED_SHARE: f64 = 0.85;
-/// How long a grant may be used: several report periods, so that a lost message does no harm.
-const VALID: Duration = Duration::from_secs(1);
-/// Time for a grant to arrive, and for the sends under it to be reported.
-const VALID_MARGIN: Duration = Duration::from_millis(250);
-/// In the shift a daemon gets what it is expected to send in two report periods.
-const GRANTED_AHEAD: Duration = Duration::from_millis(400);
-/// A daemon had a request lately: one with a request in three seconds is worth a token.
-const BUSY: Duration = Duration::from_secs(3);
-/// A daemon that reports: several report periods.
-const HEARD: Duration = Duration::from_millis(1_000);
-/// Least chance assumed that a token is used, so that no daemon gets many.
-const LEAST_CHANCE: f64 = 0.2;
-/// Daemons for each free token that may take it: more than one, as the first in turn may be silent.
-const IN_TURN_FACTOR: f64 = 2.0;
-
-/// Bounds on the use of a version under trial, of all daemons together.
+/// Part of the bound that is handed out. The rest covers grants of another judge that this one has not seen.
+const GRANTED_PART: f64 = 0.85;
+/// Validity of a grant: several report periods, so that a lost message does no harm.
+const GRANT_VALIDITY: Duration = Duration::from_secs(1);
+/// Time allowed for a grant to arrive and for the sends under it to be reported.
+const GRANT_MARGIN: Duration = Duration::from_millis(250);
+/// In the shift, a daemon gets tokens for the sends expected in this time: two report periods.
+const GRANT_LOOKAHEAD: Duration = Duration::from_millis(400);
+/// A daemon whose last request is no older than this is busy, and worth a token.
+const BUSY_WINDOW: Duration = Duration::from_secs(3);
+/// A daemon whose last report is no older than this is reachable: several report periods.
+const REACHABLE_WINDOW: Duration = Duration::from_millis(1_000);
+/// Lower bound on the estimated chance that a token is used, so that no daemon gets many.
+const MINIMUM_CHANCE: f64 = 0.2;
+/// Daemons that each free token is offered to: more than one, as the first in turn may be silent.
+const DAEMONS_PER_TOKEN: f64 = 2.0;
+
+/// Bounds on the sends of all daemons together to a version under trial.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExposureBounds {
     /// Sends to the target version, as a share of the requests to the service from the order to its deadline.
     pub share: f64,
-    /// Sends beyond that share.
+    /// Number of sends allowed beyond that share.
     pub slack: f64,
 }
 
 /// Tokens that a daemon holds.
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct HeldTokens {
     life: u64,
     limit: u64,
-    /// When its last report showed sends, how many.
+    /// Sends to the target version in its last report.
     reported: u64,
     expires: Moment,
 }
 
-impl Held {
-    fn unspent(&self) -> u64 {
+impl HeldTokens {
+    fn unused(&self) -> u64 {
         self.limit.saturating_sub(self.reported)
     }
 
@@ -57,44 +57,44 @@
     }
 }
 
-/// What may be sent to the target version, and who holds tokens for it.
+/// Sends allowed to the target version, and the daemons that hold tokens for them.
 #[derive(Debug)]
 pub(crate) struct Exposure {
     bounds: ExposureBounds,
     judge: NodeId,
     has_slack: bool,
-    held: BTreeMap<NodeId, Held>,
-    /// When each daemon last got a token.
-    turns: BTreeMap<NodeId, Moment>,
-    /// Tokens of ended lives, which may have been spent unreported.
+    held: BTreeMap<NodeId, HeldTokens>,
+    /// When each daemon last got new tokens.
+    last_granted: BTreeMap<NodeId, Moment>,
+    /// Tokens of daemons that have restarted, which may have been spent unreported.
     unaccounted: u64,
 }
 
 impl Exposure {
-    /// Nothing handed out. Without slack if an earlier judge may have spent it unseen.
+    /// Creates a state without tokens. It has no slack if an earlier judge may have spent that unseen.
     pub(crate) fn new(bounds: ExposureBounds, judge: NodeId, has_slack: bool) -> Self {
         Self {
             bounds,
             judge,
             has_slack,
             held: BTreeMap::new(),
-            turns: BTreeMap::new(),
+            last_granted: BTreeMap::new(),
             unaccounted: 0,
         }
     }
 
-    /// Notes that the slack was not spent unseen after all.
+    /// Allows the slack again, once it is known that it was not spent unseen.
     pub(crate) fn restore_slack(&mut self) {
         self.has_slack = true;
     }
 
-    /// Takes in how much a daemon has sent.
+    /// Updates a daemon's tokens by the sends that it reports.
     pub(crate) fn on_report(&mut self, now: Moment, node: NodeId, life: u64, new_sends: u64) {
         let Some(held) = self.held.get_mut(&node) else {
             return;
         };
         if held.life != life {
-            self.unaccounted += held.unspent();
+            self.unaccounted += held.unused();
             self.held.remove(&node);
         } else if now >= held.expires {
             self.held.remove(&node);
@@ -103,42 +103,43 @@
         }
     }
 
-    /// Sends to the target version that all daemons may make, at so many requests.
+    /// Sends to the target version that all daemons together may make by the time of so many requests.
     pub(crate) fn allowance(&self, requests: f64) -> f64 {
         let slack = if self.has_slack {
             self.bounds.slack
         } else {
             0.0
         };
-        USED_SHARE * (self.bounds.share * requests + slack)
+        GRANTED_PART * (self.bounds.share * requests + slack)
     }
 
-    /// Sends made, and those that may be made under grants that stand.
+    /// Sends made, and those still possible under grants that are valid.
     fn spent(&self, now: Moment, totals: &MergedTotals) -> f64 {
-        let held: u64 = self.held.values().map(Held::unspent).sum();
-        self.gone(now, totals) + held as f64
+        let held: u64 = self.held.values().map(HeldTokens::unused).sum();
+        self.used(now, totals) + held as f64
     }
 
-    /// Sends made, and those that others may have granted or seen. Tokens held serve any stage.
-    pub(crate) fn gone(&self, now: Moment, totals: &MergedTotals) -> f64 {
-        let of_others: u64 = totals
-            .heard(now, VALID + VALID_MARGIN)
+    /// Sends made, and those that other judges may have granted. This judge's unused tokens are left out, as they can
+    /// be used in any stage.
+    pub(crate) fn used(&self, now: Moment, totals: &MergedTotals) -> f64 {
+        let granted_by_others: u64 = totals
+            .heard(now, GRANT_VALIDITY + GRANT_MARGIN)
             .filter(|(_, reporter)| reporter.follows.is_some_and(|judge| judge != self.judge))
             .map(|(_, reporter)| tokens_ahead(reporter))
             .sum();
-        (totals.new_sends() + self.unaccounted + of_others) as f64
+        (totals.new_sends() + self.unaccounted + granted_by_others) as f64
     }
 
-    /// A grant without tokens beyond those that the daemon holds.
+    /// A grant that allows no further sends.
     pub(crate) fn grant_none(&self, stage: Stage, reporter: &Reporter) -> Grant {
         Grant {
             stage,
             limit: reporter.evidence.new_sends,
-            valid: VALID,
+            valid: GRANT_VALIDITY,
         }
     }
 
-    /// What a daemon gets in a stage in which tokens are handed out.
+    /// The grant for a daemon in a stage in which tokens are handed out.
     pub(crate) fn grant(
         &mut self,
         now: Moment,
@@ -158,11 +159,11 @@
         };
         let more = wanted.saturating_sub(holds).min(free.max(0.0) as u64);
         let limit = new_sends + holds + more;
-        // In the trial a token that is not used goes to another daemon, so it is not renewed.
+        // In the trial, an unused token goes to another daemon, so it is not renewed.
         let is_renewed = more > 0 || pace.stage == Stage::Shift;
         let expires = match held {
             Some(held) if !is_renewed => held.expires,
-            _ => now + VALID + VALID_MARGIN,
+            _ => now + GRANT_VALIDITY + GRANT_MARGIN,
         };
         if limit > new_sends {
             self.note_tokens(now, node, reporter, limit, expires, more > 0);
@@ -170,17 +171,17 @@
         Grant {
             stage: pace.stage,
             limit,
-            valid: (expires - VALID_MARGIN).since(now),
+            valid: (expires - GRANT_MARGIN).since(now),
         }
     }
 
-    /// Sends that are due by the pace, beyond those that the tokens held most likely make.
+    /// Sends that the pace requires beyond those expected under the tokens already held.
     fn due(&self, pace: Pace, totals: &MergedTotals) -> f64 {
         let held = self.held.iter();
         let expected: f64 = held
             .filter_map(|(node, held)| {
                 let reporter = totals.reporter(*node)?;
-                Some(held.unspent() as f64 * chance_of_use(reporter))
+                Some(held.unused() as f64 * chance_of_use(reporter))
             })
             .sum();
         pace.target - totals.new_sends() as f64 - expected
@@ -196,9 +197,9 @@
         has_more: bool,
     ) {
         let before = self.held.get(&node);
-        // A limit that has expired may still have been used up to its end, unreported.
+        // An expired limit may have been used up without a report yet.
         let limit = before.map_or(limit, |before| before.limit.max(limit));
-        let held = Held {
+        let held = HeldTokens {
             life: reporter.life,
             limit,
             reported: reporter.evidence.new_sends,
@@ -206,16 +207,16 @@
         };
         self.held.insert(node, held);
         if has_more {
-            self.turns.insert(node, now);
+            self.last_granted.insert(node, now);
         }
     }
 
-    /// Tokens for a daemon in the trial: one if it is its turn, more if there are more than daemons.
+    /// Tokens for a daemon in the trial: one if it is its turn, more if there are more tokens than daemons.
     fn tokens_in_turn(&self, now: Moment, totals: &MergedTotals, node: NodeId, due: f64) -> u64 {
         let is_busy = |reporter: &Reporter| {
             reporter
                 .busy_at
-                .is_some_and(|busy_at| now.since(busy_at) <= BUSY)
+                .is_some_and(|busy_at| now.since(busy_at) <= BUSY_WINDOW)
         };
         let Some(reporter) = totals.reporter(node).filter(|reporter| is_busy(reporter)) else {
             return 0;
@@ -223,29 +224,29 @@
         if due <= 0.0 {
             return 0;
         }
-        let tokens = due / chance_of_use(reporter).max(LEAST_CHANCE);
-        let own_turn = self.turns.get(&node);
+        let tokens = due / chance_of_use(reporter).max(MINIMUM_CHANCE);
+        let own_turn = self.last_granted.get(&node);
         let busy = || {
             totals
-                .heard(now, HEARD)
+                .heard(now, REACHABLE_WINDOW)
                 .filter(|(_, reporter)| is_busy(reporter))
         };
-        let before = busy().filter(|(other, _)| self.turns.get(other) < own_turn);
-        if before.count() as f64 >= tokens.max(1.0) * IN_TURN_FACTOR {
+        let before = busy().filter(|(other, _)| self.last_granted.get(other) < own_turn);
+        if before.count() as f64 >= tokens.max(1.0) * DAEMONS_PER_TOKEN {
             return 0;
         }
         (tokens / busy().count().max(1) as f64).ceil() as u64
     }
 }
 
-/// Chance that a daemon has a request while a grant is valid.
+/// Chance that a daemon gets a request while a grant is valid.
 fn chance_of_use(reporter: &Reporter) -> f64 {
-    1.0 - (-reporter.rate * VALID.as_secs_f64()).exp()
+    1.0 - (-reporter.rate * GRANT_VALIDITY.as_secs_f64()).exp()
 }
 
-/// What a daemon is expected to send in the time that a grant is to last.
+/// Sends expected of a daemon in the time that it gets tokens for.
 fn tokens_ahead(reporter: &Reporter) -> u64 {
-    (reporter.rate * GRANTED_AHEAD.as_secs_f64())
+    (reporter.rate * GRANT_LOOKAHEAD.as_secs_f64())
         .ceil()
         .max(1.0) as u64
 }
--- a/crates/tansylead-route/src/roll_out/judgement.rs
+++ b/crates/tansylead-route/src/roll_out/judgement.rs
@@ -1,47 +1,49 @@
-//! Whether the target version answers as well as the old leafs, from totals taken one after the other.
+//! Comparison of the answers of the target version with those of the old leafs, from successive totals.
 //!
-//! What both sides answered between two looks is compared, route by route: a share of failures, and a
-//! share of late answers, each tested for every route and for all together.
+//! At each look, the answers of both versions since the last look are compared. The share of failures and the share of
+//! late answers are each tested for every route and for all routes together.
 //!
-//! Limits. Counts do not say which leaf answered. One leaf of the target version that fails for a while
-//! looks like a version that is bad in part; only what breaks in a single moment is told apart, because no
-//! single look can condemn. While all requests go to the target version there is nothing to compare with
-//! in the same seconds: a fault that begins then and strikes any version counts against the new one.
+//! Limits: the counts do not say which leaf answered. A single leaf of the target version that fails for a while looks
+//! like a version that is bad in part; only a failure at a single moment is told apart, because no single look can
+//! reject a version. While all requests go to the target version, there are no answers of old leafs at the same time to
+//! compare with: a fault that begins then and affects any version counts against the new one.
 
-use super::cumulative_sum::{CumulativeSum, DOUBTFUL, SHOWN, SUSPECTED};
+use super::cumulative_sum::{CumulativeSum, DOUBTFUL, PROVEN, SUSPECTED};
 use super::reference::{Reference, failures_to_test};
 use super::totals::{RouteTotals, SideTotals, Totals};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Answers of the target version that are enough to judge by. If three in ten are bad, eight good ones in
-/// a row come by chance in one of seventeen cases; the tests before and after add to that.
+/// Answers of the target version that are enough to judge it. If three in ten are bad, eight good ones in a row occur
+/// by chance in one of seventeen cases; the tests before and after detect some of these.
 const ENOUGH_ANSWERS: u64 = 8;
-/// A service with few requests is judged by fewer: this part of them, but no less than the least.
-const ENOUGH_PART: u64 = 4;
-const LEAST_ANSWERS: u64 = 3;
-/// The limit that shows something holds for a test of so many answers; it rises with their number, as
-/// there are more chances to reach it by accident.
-const ANSWERS_OF_ONE_TEST: f64 = 75.0;
-/// Attempts that may run unanswered at the target version beyond what the old leafs' mean time gives: so
-/// many times that, and so many besides. Slow answers show by this before they come.
+/// A service with few requests is judged by fewer answers: one for each so many requests, but no fewer than the
+/// minimum.
+const REQUESTS_PER_ANSWER: u64 = 4;
+const MINIMUM_ANSWERS: u64 = 3;
+/// Number of answers that the limit [`PROVEN`] applies to. With more answers the limit rises, as there are more chances
+/// to reach it by accident.
+const ANSWERS_AT_BASE_LIMIT: f64 = 75.0;
+/// Attempts that may be in progress at the target version: this many times the number that the mean latency of the old
+/// leafs implies, plus [`WAITING_SLACK`]. More of them reveal slow answers before these arrive.
 const WAITING_FACTOR: f64 = 3.0;
-const WAITING_BESIDES: f64 = 4.0;
+/// Attempts allowed in progress beyond the multiple.
+const WAITING_SLACK: f64 = 4.0;
 
-/// What the answers say.
+/// Result of the tests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Finding {
-    /// Too many are bad. Stays.
+    /// Too many answers are bad. Final.
     Failing,
-    /// Too many are late. Stays.
+    /// Too many answers are late. Final.
     Slow,
-    /// Nothing against the target version.
+    /// Enough answers, and no test speaks against the target version.
     GoodSoFar,
-    /// Too few to say anything in favour.
+    /// Too few answers to accept the target version.
     NotEnough,
 }
 
-/// Both tests, for one route or for all.
+/// The tests for failures and for late answers, of one route or of all routes together.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tests {
     failing: CumulativeSum,
@@ -62,14 +64,16 @@
     }
 
     fn hint(&self, limit: f64) -> Option<Finding> {
-        if self.failing.hints(limit) {
+        if self.failing.has_reached_unlimited(limit) {
             return Some(Finding::Failing);
         }
-        self.slow.hints(limit).then_some(Finding::Slow)
+        self.slow
+            .has_reached_unlimited(limit)
+            .then_some(Finding::Slow)
     }
 }
 
-/// What the answers since the last look add to the tests.
+/// Log-likelihood ratios of the answers since the last look.
 #[derive(Debug, Clone, Copy, Default)]
 struct LogRatios {
     failing: f64,
@@ -84,8 +88,8 @@
 }
 
 impl RouteJudgement {
-    /// Takes in totals; returns what came since the last look.
-    fn take_in(&mut self, span: Duration, totals: &RouteTotals) -> RouteTotals {
+    /// Updates the totals; returns what was added since the last look.
+    fn update(&mut self, span: Duration, totals: &RouteTotals) -> RouteTotals {
         let added = RouteTotals {
             old: totals.old.since(&self.seen.old),
             new: totals.new.since(&self.seen.new),
@@ -95,7 +99,7 @@
         added
     }
 
-    /// Tests new answers. A fault that strikes all routes shows soonest in what is usual on all.
+    /// Tests new answers. A fault that affects all routes shows soonest in the usual shares of all routes together.
     fn test(&mut self, new: &SideTotals, usual: Usual) -> LogRatios {
         let failures = self.reference.usual_failures().max(usual.failures);
         let failing = failures_to_test(failures).log_ratio(new.failed, new.good);
@@ -109,35 +113,35 @@
     }
 }
 
-/// Shares that are usual on all routes together.
+/// Usual shares of old leafs on all routes together.
 #[derive(Debug, Clone, Copy)]
 struct Usual {
     failures: f64,
     late: f64,
 }
 
-/// The judgement so far.
+/// State of the tests of all routes.
 #[derive(Debug, Default)]
 pub(crate) struct Judgement {
     routes: BTreeMap<u32, RouteJudgement>,
-    /// Old leafs on all routes.
+    /// Answers of old leafs on all routes.
     reference: Reference,
-    /// The same, with late answers in place of failures.
+    /// The same, with late answers counted as failures.
     late_reference: Reference,
     all: Tests,
-    condemned: Option<Finding>,
+    rejected: Option<Finding>,
     requests: u64,
     running_on_new: u64,
 }
 
 impl Judgement {
-    /// Takes in totals, `span` after those before.
+    /// Updates the tests with totals that were taken `span` after the last ones.
     pub(crate) fn look(&mut self, span: Duration, totals: &Totals) {
         let (mut old, mut old_late) = (SideTotals::default(), SideTotals::default());
         let mut added_new = Vec::with_capacity(totals.routes.len());
         for (route, totals) in &totals.routes {
             let judgement = self.routes.entry(*route).or_default();
-            let added = judgement.take_in(span, totals);
+            let added = judgement.update(span, totals);
             old.merge(&added.old);
             if let Some(bound) = judgement.reference.late_bound() {
                 old_late.merge(&bound.split(&added.old));
@@ -149,9 +153,9 @@
         self.requests = totals.requests;
         self.running_on_new = totals.running_on_new;
         self.test(&added_new);
-        let many_answers = self.new_answers() as f64 / ANSWERS_OF_ONE_TEST;
-        let limit = SHOWN + many_answers.max(1.0).ln();
-        self.condemned = self.condemned.or_else(|| self.against(limit));
+        let answer_factor = self.new_answers() as f64 / ANSWERS_AT_BASE_LIMIT;
+        let limit = PROVEN + answer_factor.max(1.0).ln();
+        self.rejected = self.rejected.or_else(|| self.rejection(limit));
     }
 
     fn test(&mut self, added: &[(u32, SideTotals)]) {
@@ -169,10 +173,10 @@
         self.all.add(sum);
     }
 
-    /// What all answers say.
+    /// The result so far.
     pub(crate) fn finding(&self) -> Finding {
-        if let Some(condemned) = self.condemned {
-            return condemned;
+        if let Some(rejected) = self.rejected {
+            return rejected;
         }
         let has_enough = self.new_answers() >= self.enough();
         if has_enough {
@@ -182,56 +186,58 @@
         }
     }
 
-    /// What may speak against the target version at the last moment: by answers that came, or by attempts
-    /// that wait for theirs, at `rate` attempts a second.
+    /// Doubts about the target version that count at the last moment: from the answers so far, or from attempts still
+    /// waiting for theirs, at `rate` attempts a second.
     pub(crate) fn suspicion(&self, rate: f64) -> Option<Finding> {
-        let tested = self.condemned.or_else(|| self.hint(SUSPECTED));
-        tested.or_else(|| self.has_piled_up(rate).then_some(Finding::Slow))
+        let tested = self.rejected.or_else(|| self.hint(SUSPECTED));
+        tested.or_else(|| self.has_backlog(rate).then_some(Finding::Slow))
     }
 
-    /// Whether it is worth to wait for more answers.
+    /// Whether the answers so far are a reason to wait for more.
     pub(crate) fn is_doubtful(&self) -> bool {
         self.hint(DOUBTFUL).is_some()
     }
 
-    /// Answers of the target version.
+    /// Number of answers of the target version.
     pub(crate) fn new_answers(&self) -> u64 {
         let routes = self.routes.values();
         routes.map(|route| route.seen.new.answers()).sum()
     }
 
     fn enough(&self) -> u64 {
-        (self.requests / ENOUGH_PART).clamp(LEAST_ANSWERS, ENOUGH_ANSWERS)
+        (self.requests / REQUESTS_PER_ANSWER).clamp(MINIMUM_ANSWERS, ENOUGH_ANSWERS)
     }
 
-    fn against(&self, limit: f64) -> Option<Finding> {
-        let of_one = self.limit_of_one(limit);
+    fn rejection(&self, limit: f64) -> Option<Finding> {
+        let route_limit = self.limit_for_route(limit);
         let routes = self.routes.values();
         let worst = routes
-            .filter_map(|route| route.tests.finding(of_one))
+            .filter_map(|route| route.tests.finding(route_limit))
             .next();
         self.all.finding(limit).or(worst)
     }
 
     fn hint(&self, limit: f64) -> Option<Finding> {
-        let of_one = self.limit_of_one(limit);
+        let route_limit = self.limit_for_route(limit);
         let routes = self.routes.values();
-        let worst = routes.filter_map(|route| route.tests.hint(of_one)).next();
+        let worst = routes
+            .filter_map(|route| route.tests.hint(route_limit))
+            .next();
         self.all.hint(limit).or(worst)
     }
 
-    /// Among many routes one looks bad by chance more easily.
-    fn limit_of_one(&self, limit: f64) -> f64 {
+    /// Limit for a single route: higher with more routes, as one of many is more likely to look bad by chance.
+    fn limit_for_route(&self, limit: f64) -> f64 {
         limit + (self.routes.len().max(1) as f64).ln()
     }
 
-    fn has_piled_up(&self, rate: f64) -> bool {
+    fn has_backlog(&self, rate: f64) -> bool {
         let routes = self.routes.values();
         let slowest = routes.filter_map(|route| route.reference.mean_millis());
         let Some(mean) = slowest.reduce(f64::max) else {
             return false;
         };
         let usual = rate * mean / 1_000.0;
-        self.running_on_new as f64 > usual * WAITING_FACTOR + WAITING_BESIDES
+        self.running_on_new as f64 > usual * WAITING_FACTOR + WAITING_SLACK
     }
 }
--- a/crates/tansylead-route/src/roll_out/leadership.rs
+++ b/crates/tansylead-route/src/roll_out/leadership.rs
@@ -1,4 +1,4 @@
-//! Which judge leads: the one that most daemons follow, as their reports say, if it hears most members.
+//! Election of the leading judge: the one that most reports name as followed, if it hears most members.
 
 use super::totals::MergedTotals;
 use super::verdict::TrialContext;
@@ -6,108 +6,108 @@
 use std::time::Duration;
 use tansylead_types::{Moment, NodeId};
 
-/// Reports within this time say who is followed: several report periods of a daemon with few requests.
-pub(crate) const LATELY: Duration = Duration::from_millis(1_500);
-/// Looks come four times a second. After a longer gap this daemon was frozen, and what it remembers of
-/// others is old.
-pub(crate) const FROZEN: Duration = Duration::from_secs(1);
-/// A judge that starts during a roll-out, or was frozen, listens for this long before it leads: daemons that
-/// follow another one have reported by then.
-const LISTENS_FIRST: Duration = Duration::from_millis(600);
-/// If most daemons have known of the order for this much longer than this one, then not all were lost.
-/// Daemons that are started together learn of it within less.
-const KNOWN_LONGER: Duration = Duration::from_secs(1);
-/// Members count for this long after they were last listed: a judge that is cut off with a few others lists them
-/// alone once it has noticed, while the others go on under another judge. By then what that one has written
-/// stands, or the others are lost.
-const LISTED_LATELY: Duration = Duration::from_secs(5);
+/// Age up to which a report counts for who is followed: several report periods of a daemon with few requests.
+pub(crate) const REPORT_WINDOW: Duration = Duration::from_millis(1_500);
+/// A gap between looks, which come four times a second, after which this daemon was frozen and its reports are
+/// stale.
+pub(crate) const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
+/// How long a judge that starts during a roll-out, or was frozen, listens before it leads. Daemons that follow another
+/// judge have reported by then.
+const LISTENING_PERIOD: Duration = Duration::from_millis(600);
+/// If most daemons have known of the order for this much longer than this one, not all daemons were lost. Daemons that
+/// start together learn of an order within less time.
+const KNOWN_LONGER_MARGIN: Duration = Duration::from_secs(1);
+/// How long a member counts after it was last listed. Once a judge that is partitioned off with a few others has
+/// noticed, only these are listed, while the rest may go on under another judge. After this time, that judge's
+/// conclusion is written, or the rest are lost.
+const MEMBERSHIP_RETENTION: Duration = Duration::from_secs(5);
 
-/// Whether one judge leads.
+/// Whether this daemon's judge leads.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     judge: NodeId,
     /// When this daemon learned of the order.
     began: Moment,
-    /// Since when this judge has heard reports, if it missed some before.
+    /// When this judge began to listen, if it missed earlier reports.
     listens_since: Option<Moment>,
-    /// When each member was last listed, of those that were lately.
-    listed: BTreeMap<NodeId, Moment>,
-    leads: bool,
+    /// When each member was last listed; only recent ones.
+    last_listed: BTreeMap<NodeId, Moment>,
+    is_leading: bool,
 }
 
 impl Leadership {
-    /// Of a judge that has missed nothing, or begins during a roll-out.
+    /// Creates the state of a judge; `has_missed` tells that it starts during the roll-out.
     pub(crate) fn new(judge: NodeId, began: Moment, has_missed: bool) -> Self {
         Self {
             judge,
             began,
             listens_since: has_missed.then_some(began),
-            listed: BTreeMap::new(),
-            leads: false,
+            last_listed: BTreeMap::new(),
+            is_leading: false,
         }
     }
 
-    /// Notes that this daemon was frozen until now.
+    /// Restarts the listening period, as this daemon was frozen until now.
     pub(crate) fn on_thaw(&mut self, now: Moment) {
         self.listens_since = Some(now);
     }
 
-    /// Whether it led at the last look.
+    /// Whether this judge led at the last look.
     pub(crate) fn leads(&self) -> bool {
-        self.leads
+        self.is_leading
     }
 
-    /// Finds out whether this judge leads now.
+    /// Determines whether this judge leads now.
     pub(crate) fn look(&mut self, now: Moment, context: TrialContext<'_>, totals: &MergedTotals) {
-        self.note_listed(now, context.members);
-        self.leads = self.has_listened(now)
+        self.update_listed(now, context.members);
+        self.is_leading = self.has_listened(now)
             && self.hears_most_members(now, totals)
             && self.is_followed(now, context.rank, totals);
     }
 
-    fn note_listed(&mut self, now: Moment, members: &[NodeId]) {
+    fn update_listed(&mut self, now: Moment, members: &[NodeId]) {
         let members = members.iter().map(|member| (*member, now));
-        self.listed.extend(members);
-        self.listed
-            .retain(|_, listed| now.since(*listed) <= LISTED_LATELY);
+        self.last_listed.extend(members);
+        self.last_listed
+            .retain(|_, last_listed| now.since(*last_listed) <= MEMBERSHIP_RETENTION);
     }
 
-    /// Whether more than half of the members listed lately have reported lately; this daemon needs not. Otherwise
-    /// the others may have another judge: two that lead at once would grant twice what the bounds allow.
+    /// Whether a majority of the recently listed members has reported recently; this daemon counts in any case.
+    /// Otherwise the others may have another judge, and two leading judges would grant twice what the bounds allow.
     fn hears_most_members(&self, now: Moment, totals: &MergedTotals) -> bool {
         let was_heard = |member: &NodeId| {
             let reporter = totals.reporter(*member);
-            reporter.is_some_and(|reporter| reporter.was_heard(now, LATELY))
+            reporter.is_some_and(|reporter| reporter.was_heard(now, REPORT_WINDOW))
         };
-        let members = self.listed.keys();
+        let members = self.last_listed.keys();
         let heard = members.filter(|member| **member == self.judge || was_heard(member));
-        heard.count() * 2 > self.listed.len()
+        heard.count() * 2 > self.last_listed.len()
     }
 
     fn has_listened(&self, now: Moment) -> bool {
         self.listens_since
-            .is_none_or(|since| now.since(since) >= LISTENS_FIRST)
+            .is_none_or(|since| now.since(since) >= LISTENING_PERIOD)
     }
 
-    /// Whether this judge is followed by more than half, or is first and nobody follows anybody yet.
+    /// Whether most reporters follow this judge, or it is ranked first and nobody follows any judge yet.
     fn is_followed(&self, now: Moment, rank: usize, totals: &MergedTotals) -> bool {
-        let heard = || totals.heard(now, LATELY);
+        let heard = || totals.heard(now, REPORT_WINDOW);
         let following = heard().filter(|(_, reporter)| reporter.follows == Some(self.judge));
         let mut reporters = totals.reporters();
         let nobody_follows = rank == 0 && reporters.all(|reporter| reporter.follows.is_none());
         following.count() * 2 > heard().count() || nobody_follows
     }
 
-    /// Whether most daemons have known of the order for longer than this one, so that not all were lost.
-    pub(crate) fn have_most_known_longer(&self, now: Moment, totals: &MergedTotals) -> bool {
+    /// Whether most daemons have known of the order for longer than this one, which shows that not all were lost.
+    pub(crate) fn has_majority_known_longer(&self, now: Moment, totals: &MergedTotals) -> bool {
         let known_here = now.since(self.began);
-        let heard = totals.heard(now, LATELY);
+        let heard = totals.heard(now, REPORT_WINDOW);
         let known: Vec<Duration> = heard
             .map(|(_, reporter)| reporter.known_for + now.since(reporter.heard_at))
             .collect();
         let longer = known
             .iter()
-            .filter(|known| **known >= known_here + KNOWN_LONGER);
+            .filter(|known| **known >= known_here + KNOWN_LONGER_MARGIN);
         longer.count() * 2 > known.len()
     }
 }
--- a/crates/tansylead-route/src/roll_out/mod.rs
+++ b/crates/tansylead-route/src/roll_out/mod.rs
@@ -1,8 +1,8 @@
-//! Roll-outs: a service is moved to leafs of another software version, under trial first.
+//! Roll-outs, which move a service to leafs of another software version after a trial.
 //!
-//! The leafs of the target version run beside the old ones. They get a bounded part of the service's
-//! requests while their answers are compared with those of the old leafs; then either all requests move
-//! over, or the target version gets nothing any more. Nothing here opens a socket or reads a clock.
+//! The leafs of the target version run beside the old ones. In the trial they get a bounded share of the service's
+//! requests, and their answers are compared with those of the old leafs. Then either all requests move to the target
+//! version, or it is rolled back and gets no more requests. This module does no I/O and reads no clock.
 
 mod conclusion;
 mod cumulative_sum;
--- a/crates/tansylead-route/src/roll_out/order.rs
+++ b/crates/tansylead-route/src/roll_out/order.rs
@@ -1,7 +1,7 @@
-//! The operator's orders to roll out, and how far each has come.
+//! The operator's roll-out orders and their states.
 //!
-//! There is at most one order for a service, and there are few in all, so the set is always passed on
-//! whole. Invariant: the revision never goes down, so a set that arrives late changes nothing.
+//! There is at most one order for each service, and few in all, so the set is always replicated whole. Invariant: the
+//! revision of a replica never decreases, so a set that arrives late changes nothing.
 
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
@@ -10,14 +10,14 @@
 use tansylead_types::{ServiceName, SoftwareVersion};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Identifies one order. A later order for the same service and version has another one, unless it
-/// cannot be told apart from the earlier one by what the source says.
+/// Identifies one order. A later order for the same service and version has another id, unless the source's data do not
+/// distinguish the two.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId(pub u64);
 
 impl OrderId {
-    /// The id of an order. `made` is what the source says of when the order was first given; it must not
-    /// change while the order stands.
+    /// Computes the id of an order. `made` is the source's text for when the order was created; it must not change as
+    /// long as the order exists.
     pub fn new(
         service: &ServiceName,
         target: &SoftwareVersion,
@@ -29,16 +29,16 @@
     }
 }
 
-/// How far a roll-out has come, as the source says.
+/// State of a roll-out in the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RollOutState {
-    /// Ordered; nobody has noted a beginning.
+    /// Ordered; no daemon has recorded its start yet.
     Ordered,
     /// The target version is under trial.
     Running,
-    /// All requests go to the target version; the old leafs are stopped.
+    /// Succeeded: all requests go to the target version, and the old leafs are stopped.
     Completed,
-    /// The target version gets nothing any more.
+    /// Failed: the target version gets no more requests.
     RolledBack,
 }
 
@@ -48,7 +48,7 @@
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Ordered => "ordered",
@@ -59,39 +59,39 @@
     }
 }
 
-/// One order to roll out.
+/// One roll-out order and its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RollOut {
-    /// The order.
+    /// Id of the order.
     pub order: OrderId,
-    /// Service to be moved.
+    /// Service that is rolled out.
     pub service: ServiceName,
-    /// Version that it moves to.
+    /// Version that the service moves to.
     pub target: SoftwareVersion,
-    /// Time from the order until the roll-out should have ended.
+    /// Time from the order to its deadline, by which the roll-out should have ended.
     pub duration: Duration,
-    /// How far it has come.
+    /// Current state.
     pub state: RollOutState,
-    /// Revision of the last change of order or state; a conditional write names it.
+    /// Revision of the last change of the order or its state, on which writes are conditional.
     pub changed_at: Revision,
 }
 
 impl RollOut {
-    /// Whether both orders move the same service to the same version in the same time. An order that is given
-    /// again after it was lost has another id.
-    pub fn orders_the_same_as(&self, other: &Self) -> bool {
+    /// Whether both orders move the same service to the same version in the same time. Their ids may differ, as an
+    /// order that was lost and given again has a new one.
+    pub fn is_equivalent_to(&self, other: &Self) -> bool {
         self.service == other.service
             && self.target == other.target
             && self.duration == other.duration
     }
 }
 
-/// All orders, as they were at one revision of the source.
+/// All orders at one revision of the source.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RollOuts {
-    /// Revision up to which the source is known.
+    /// Revision of the source that the orders are known up to.
     pub at: Revision,
-    /// The orders.
+    /// Orders by service.
     pub orders: BTreeMap<ServiceName, RollOut>,
 }
 
@@ -101,7 +101,7 @@
         self.orders.get(service)
     }
 
-    /// Takes in a set of the same or a later revision. Returns whether the orders differ from before.
+    /// Replaces the set by one of the same or a later revision. Returns whether the orders have changed.
     pub fn apply(&mut self, newer: Self) -> bool {
         if newer.at < self.at {
             return false;
@@ -111,7 +111,7 @@
         has_changed
     }
 
-    /// What is held, in a few bytes.
+    /// Summary of the set in a few bytes.
     pub fn mark(&self) -> RollOutsMark {
         RollOutsMark {
             at: self.at,
@@ -119,13 +119,13 @@
         }
     }
 
-    /// Whether a replica with the mark `held` lacks a change that this set has.
+    /// Whether this set has changes that a replica with the mark `held` lacks.
     pub fn is_news_for(&self, held: Option<RollOutsMark>) -> bool {
         held.is_none_or(|held| held.at < self.at && held.digest != self.digest())
     }
 
-    /// Notes that a replica whose orders have the same digest is known up to a later revision: nothing
-    /// has changed until then. Returns whether the orders are known further than before.
+    /// Advances the revision to that of a replica with the same digest, as nothing has changed in between. Returns
+    /// whether the revision has advanced.
     pub fn advance(&mut self, other: RollOutsMark) -> bool {
         let is_further = other.at > self.at && other.digest == self.digest();
         if is_further {
@@ -134,7 +134,7 @@
         is_further
     }
 
-    /// Equal for equal orders; zero if there are none.
+    /// Hash of the orders; zero if there are none.
     fn digest(&self) -> u64 {
         if self.orders.is_empty() {
             return 0;
@@ -150,11 +150,11 @@
     }
 }
 
-/// What a replica holds of the orders: enough to tell whether another one holds the same.
+/// Summary of a replica's orders, by which replicas compare what they hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RollOutsMark {
-    /// Revision up to which the orders are known.
+    /// Revision of the source that the orders are known up to.
     pub at: Revision,
-    /// Equal for equal orders; zero if there are none.
+    /// Hash of the orders; zero if there are none.
     pub digest: u64,
 }
--- a/crates/tansylead-route/src/roll_out/order_memory.rs
+++ b/crates/tansylead-route/src/roll_out/order_memory.rs
@@ -1,30 +1,30 @@
-//! What is remembered of orders to roll out when the source comes back from an older copy of itself.
+//! Memory of orders and outcomes that the source lost when it was restored from a backup.
 //!
-//! The copy may lack an order, which the operator gives again, or how an order ended, which the fleet writes
-//! again: a version that was rolled back must get nothing, and one that completed is not tried anew.
+//! The backup may lack an order, which the operator gives again, or the outcome of an order, which the daemons write
+//! again. Until then, a version that was rolled back must get no requests, and one that completed is not tried again.
 
 use super::order::{OrderId, RollOut, RollOutState, RollOuts};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tansylead_types::{Moment, ServiceName};
 
-/// An order that the source has lost is given again within this time.
-const GIVEN_AGAIN: Duration = Duration::from_secs(10);
+/// How long a lost order is kept if the operator does not give it again.
+const LOST_ORDER_RETENTION: Duration = Duration::from_secs(10);
 
 /// An order that the source has lost.
 #[derive(Debug, Clone)]
 struct LostOrder {
     order: RollOut,
-    waited_for_until: Moment,
+    kept_until: Moment,
 }
 
-/// How an order ended, which the source has lost.
+/// Outcome of an order that the source has lost.
 #[derive(Debug, Clone)]
 struct LostOutcome {
-    /// The order as it stood when it had ended.
+    /// The order with its final state.
     ended: RollOut,
-    /// The order that the source tells in its place.
-    told: OrderId,
+    /// Id of the order that the source has in its place.
+    source_order: OrderId,
 }
 
 /// Orders and outcomes that the source has lost.
@@ -35,70 +35,69 @@
 }
 
 impl OrderMemory {
-    /// The orders to act on. `standing` are those acted on before, `told` those that the source tells now;
-    /// `is_restored` says that it came back from a copy between the two.
-    pub fn take_in(
+    /// Returns the orders to act on. `current` are those acted on before, `source` those that the source has now;
+    /// `is_restored` tells that the source was restored between the two.
+    pub fn reconcile(
         &mut self,
         now: Moment,
-        standing: &RollOuts,
-        told: &RollOuts,
+        current: &RollOuts,
+        source: &RollOuts,
         is_restored: bool,
     ) -> RollOuts {
         if is_restored {
-            self.note_lost(now, standing, told);
+            self.remember_lost(now, current, source);
         }
-        self.forget_given_again(now, told);
-        self.forget_written_again(told);
-        self.complement(told)
+        self.forget_given_again(now, source);
+        self.forget_written_again(source);
+        self.with_lost(source)
     }
 
-    /// The outcomes that must be written again, with the orders as the source tells them.
+    /// The outcomes to write again, each with the order as the source has it.
     pub fn lost_outcomes<'a>(
         &'a self,
-        told: &'a RollOuts,
+        source: &'a RollOuts,
     ) -> impl Iterator<Item = (&'a RollOut, RollOutState)> {
         self.outcomes.iter().filter_map(|(service, outcome)| {
-            let order = told.get(service)?;
+            let order = source.get(service)?;
             Some((order, outcome.ended.state))
         })
     }
 
-    fn note_lost(&mut self, now: Moment, standing: &RollOuts, told: &RollOuts) {
-        let waited_for_until = now + GIVEN_AGAIN;
-        for (service, order) in &standing.orders {
+    fn remember_lost(&mut self, now: Moment, current: &RollOuts, source: &RollOuts) {
+        let kept_until = now + LOST_ORDER_RETENTION;
+        for (service, order) in &current.orders {
             let order = order.clone();
-            match told.get(service) {
-                Some(again) if again.orders_the_same_as(&order) => self.note_outcome(order, again),
+            match source.get(service) {
+                Some(again) if again.is_equivalent_to(&order) => {
+                    self.remember_outcome(order, again)
+                }
                 _ => {
-                    let lost = LostOrder {
-                        order,
-                        waited_for_until,
-                    };
+                    let lost = LostOrder { order, kept_until };
                     self.orders.insert(service.clone(), lost);
                 }
             }
         }
     }
 
-    fn note_outcome(&mut self, ended: RollOut, told: &RollOut) {
-        if ended.state.is_final() && !told.state.is_final() {
+    fn remember_outcome(&mut self, ended: RollOut, source: &RollOut) {
+        if ended.state.is_final() && !source.state.is_final() {
             let outcome = LostOutcome {
                 ended,
-                told: told.order,
+                source_order: source.order,
             };
-            self.outcomes.insert(told.service.clone(), outcome);
+            self.outcomes.insert(source.service.clone(), outcome);
         }
     }
 
-    /// Lost orders that the source tells again, or that were not given again for too long.
-    fn forget_given_again(&mut self, now: Moment, told: &RollOuts) {
+    /// Removes lost orders that the source has again, or that were not given again in time.
+    fn forget_given_again(&mut self, now: Moment, source: &RollOuts) {
         let lost = std::mem::take(&mut self.orders);
         for (service, lost) in lost {
-            match told.get(&service) {
-                Some(again) if again.orders_the_same_as(&lost.order) => {
-                    self.note_outcome(lost.order, again);
+            match source.get(&service) {
+                Some(again) if again.is_equivalent_to(&lost.order) => {
+                    self.remember_outcome(lost.order, again);
                 }
-                _ if now < lost.waited_for_until => {
+                _ if now < lost.kept_until => {
                     self.orders.insert(service, lost);
                 }
                 _ => {}
@@ -106,24 +105,23 @@
         }
     }
 
-    /// Outcomes that the source tells again, or whose orders were replaced or taken back.
-    fn forget_written_again(&mut self, told: &RollOuts) {
+    /// Removes outcomes that the source has again, or whose orders were replaced or withdrawn.
+    fn forget_written_again(&mut self, source: &RollOuts) {
         self.outcomes.retain(|service, outcome| {
-            let order = told.get(service);
-            order.is_some_and(|order| order.order == outcome.told && !order.state.is_final())
+            let order = source.get(service);
+            order
+                .is_some_and(|order| order.order == outcome.source_order && !order.state.is_final())
         });
     }
 
-    fn complement(&self, told: &RollOuts) -> RollOuts {
-        let mut standing = told.clone();
+    fn with_lost(&self, source: &RollOuts) -> RollOuts {
+        let mut orders = source.clone();
         for (service, lost) in &self.orders {
-            standing.orders.insert(service.clone(), lost.order.clone());
+            orders.orders.insert(service.clone(), lost.order.clone());
         }
         for (service, outcome) in &self.outcomes {
-            standing
-                .orders
-                .insert(service.clone(), outcome.ended.clone());
+            orders.orders.insert(service.clone(), outcome.ended.clone());
         }
-        standing
+        orders
     }
 }
--- a/crates/tansylead-route/src/roll_out/report.rs
+++ b/crates/tansylead-route/src/roll_out/report.rs
@@ -1,4 +1,4 @@
-//! What daemons tell the judges of a roll-out.
+//! Reports of daemons to the judges of a roll-out.
 
 use super::evidence::RollOutEvidence;
 use super::grant::Stage;
@@ -6,25 +6,25 @@
 use serde::{Deserialize, Serialize};
 use tansylead_types::{NodeId, ServiceName};
 
-/// What one daemon tells the judges of a roll-out.
+/// One daemon's report to the judges of a roll-out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RollOutReport {
-    /// Service.
+    /// Service that is rolled out.
     pub service: ServiceName,
-    /// Order.
+    /// Order that the report is about.
     pub order: OrderId,
-    /// The daemon.
+    /// The daemon that reports.
     pub reporter: NodeId,
-    /// Its life: a restart begins a new one, with totals that begin anew. Later lives are greater.
+    /// Incarnation of the daemon. It rises with each restart, which also resets the totals.
     pub life: u64,
-    /// Rises with each report of a life.
+    /// Rises with each report of one incarnation.
     pub sequence: u64,
     /// How long the daemon has known of the order, in milliseconds.
     pub known_for_millis: u32,
-    /// The judge whose grants it follows.
+    /// The judge whose grants the daemon follows.
     pub follows: Option<NodeId>,
-    /// The stage that it was granted last.
+    /// The stage of the daemon's last grant.
     pub stage: Option<Stage>,
-    /// What it has seen.
+    /// The daemon's counts.
     pub evidence: RollOutEvidence,
 }
--- a/crates/tansylead-route/src/roll_out/state_write.rs
+++ b/crates/tansylead-route/src/roll_out/state_write.rs
@@ -1,74 +1,74 @@
-//! Brings the state of one roll-out into the source, although answers may be lost.
+//! Writes the state of one roll-out to the source, even if answers are lost.
 //!
-//! Each write names the revision that the order had when it was last read. A write without an answer may
-//! have been done, or may be done later, so the order is read back before anything else is written; if
-//! the late write is done after all, the condition of the next one no longer holds, and the conflict
-//! tells what stands. Invariant: an order that has ended is never written again.
+//! Each write is conditional on the revision that the order had when it was last read. A write without an answer may
+//! have been applied, or may be applied later, so the order is read back before anything else is written. If the late
+//! write is applied after all, the next one fails with a conflict that returns the current order. Invariant: an order
+//! that has ended is never written again.
 
 use super::order::{RollOut, RollOutState};
 use crate::revision::Revision;
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Wait after the first failure: a refusal of a full store is often over in a moment.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-/// Longest wait: a small part of the seconds within which a bad version must get nothing any more.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Doublings of the wait at most; so many reach the longest wait.
+/// Backoff after the first failure: an overloaded store often accepts requests again in a moment.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest backoff: a small part of the seconds within which a bad version must stop getting requests.
+const MAXIMUM_BACKOFF: Duration = Duration::from_secs(1);
+/// Most doublings of the backoff; so many reach the longest one.
 const MAXIMUM_DOUBLINGS: u32 = 4;
-/// Waits are spread by a factor of this to one more, so that judges that fail together do not come back
+/// Smallest jitter factor; the largest is greater by one. Jitter keeps judges that fail together from retrying
 /// together.
-const LEAST_JITTER: f64 = 0.5;
+const MINIMUM_JITTER: f64 = 0.5;
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteEnd {
-    /// It was done; the object's revision is this one now.
+    /// The write was applied; the object has this revision now.
     Written(Revision),
-    /// The object had changed before, or is gone: this is how it stands now.
+    /// The object had changed or was deleted; this is its current state.
     Conflict(Option<Box<RollOut>>),
 }
 
-/// Why a conditional write gave nothing.
+/// Why a conditional write has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// The source refused: nothing was done.
+    /// The source refused the write, which was not applied.
     Refused,
-    /// No answer, or none that can be understood: it may have been done, or may be done later.
+    /// There was no answer, or a malformed one: the write may have been applied, or may be applied later.
     Unknown,
 }
 
-/// What is to be done next.
+/// The next step of the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteStep {
-    /// Write the wanted state, if order and state are still as in `roll_out`.
+    /// Write the wanted state, on the condition that the order is unchanged since `roll_out`.
     Write {
         /// The order as it was last read.
         roll_out: RollOut,
     },
     /// Read the order back.
     Read,
-    /// Nothing before this moment.
+    /// Wait until this moment.
     WaitUntil(Moment),
-    /// Nothing any more.
+    /// Stop.
     Ended(StateWriteEnd),
 }
 
-/// How it ended.
+/// How the writing of a state ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateWriteEnd {
-    /// The state stands as wanted.
+    /// The source has the wanted state.
     Stands(Revision),
-    /// The roll-out has ended, but not as wanted.
+    /// The roll-out has ended in another state.
     EndedAs(RollOutState),
-    /// Another order stands for the service.
+    /// The service has another order.
     Replaced,
-    /// The order was taken back.
+    /// The order was withdrawn.
     Gone,
 }
 
 impl StateWriteEnd {
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Stands(_) => "stands",
@@ -83,10 +83,10 @@
 enum Task {
     Write,
     Read,
-    Nothing(StateWriteEnd),
+    Done(StateWriteEnd),
 }
 
-/// Brings the state of one roll-out into the source.
+/// State machine that writes the state of one roll-out to the source.
 #[derive(Debug)]
 pub struct StateWrite {
     /// The order as it was last read.
@@ -94,12 +94,12 @@
     wanted: RollOutState,
     task: Task,
     not_before: Moment,
-    /// Failures since the order was last found changed.
+    /// Failures since the last change of the order.
     failures: u32,
 }
 
 impl StateWrite {
-    /// Nothing has been written yet. `order` is what was last heard of it.
+    /// Starts the writing of a state. `order` is the last known version of the order.
     pub fn new(order: RollOut, wanted: RollOutState) -> Self {
         let mut write = Self {
             roll_out: order.clone(),
@@ -108,19 +108,19 @@
             not_before: Moment::default(),
             failures: 0,
         };
-        write.look_at(Some(&order));
+        write.update_task(Some(&order));
         write
     }
 
-    /// The state that is to stand.
+    /// The state to be written.
     pub fn wanted(&self) -> RollOutState {
         self.wanted
     }
 
-    /// What is to be done now. Stays the same until the end of a write or a read is told.
+    /// The next step. It stays the same until the result of a write or a read is passed in.
     pub fn next(&self, now: Moment) -> WriteStep {
         match self.task {
-            Task::Nothing(end) => WriteStep::Ended(end),
+            Task::Done(end) => WriteStep::Ended(end),
             _ if now < self.not_before => WriteStep::WaitUntil(self.not_before),
             Task::Read => WriteStep::Read,
             Task::Write => WriteStep::Write {
@@ -129,14 +129,14 @@
         }
     }
 
-    /// Takes in how a write ended. `random` is in 0..1.
+    /// Handles the result of a write. `random`, in 0..1, determines the jitter.
     pub fn on_write(&mut self, now: Moment, result: Result<WriteEnd, WriteFailure>, random: f64) {
         match result {
             Ok(WriteEnd::Written(revision)) => {
-                self.task = Task::Nothing(StateWriteEnd::Stands(revision));
+                self.task = Task::Done(StateWriteEnd::Stands(revision));
             }
-            Ok(WriteEnd::Conflict(found)) => self.on_found(now, found.as_deref(), random),
-            Err(WriteFailure::Refused) => self.wait(now, random),
+            Ok(WriteEnd::Conflict(found)) => self.on_current(now, found.as_deref(), random),
+            Err(WriteFailure::Refused) => self.back_off(now, random),
             Err(WriteFailure::Unknown) => {
                 self.task = Task::Read;
                 self.not_before = now;
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Takes in how a read ended: the order as it stands, none if there is none; or a failure.
+    /// Handles the result of a read: the current order, if there is one, or a failure.
     pub fn on_read(
         &mut self,
         now: Moment,
@@ -152,52 +152,52 @@
         random: f64,
     ) {
         match result {
-            Ok(found) => self.on_found(now, found, random),
-            Err(_) => self.wait(now, random),
+            Ok(found) => self.on_current(now, found, random),
+            Err(_) => self.back_off(now, random),
         }
     }
 
-    /// Takes in what was heard of the order in another way, for example by a watch. What is older than
-    /// the last read changes nothing.
-    pub fn on_news(&mut self, told: &RollOut) {
-        if told.changed_at > self.roll_out.changed_at && !matches!(self.task, Task::Nothing(_)) {
-            self.look_at(Some(told));
+    /// Handles a version of the order that was received in another way, such as a watch. One older than the last read
+    /// is ignored.
+    pub fn on_news(&mut self, received: &RollOut) {
+        if received.changed_at > self.roll_out.changed_at && !matches!(self.task, Task::Done(_)) {
+            self.update_task(Some(received));
         }
     }
 
-    /// An order that is as it was before its last write is written again after a wait only.
-    fn on_found(&mut self, now: Moment, found: Option<&RollOut>, random: f64) {
+    /// Handles the current order. If it has not changed since the last write, it is written again only after a backoff.
+    fn on_current(&mut self, now: Moment, found: Option<&RollOut>, random: f64) {
         let has_changed = found.is_none_or(|found| found.changed_at != self.roll_out.changed_at);
-        self.look_at(found);
+        self.update_task(found);
         if has_changed {
             self.failures = 0;
             self.not_before = now;
         } else {
-            self.wait(now, random);
+            self.back_off(now, random);
         }
     }
 
-    fn look_at(&mut self, found: Option<&RollOut>) {
+    fn update_task(&mut self, found: Option<&RollOut>) {
         let Some(found) = found else {
-            self.task = Task::Nothing(StateWriteEnd::Gone);
+            self.task = Task::Done(StateWriteEnd::Gone);
             return;
         };
         self.task = if found.order != self.roll_out.order {
-            Task::Nothing(StateWriteEnd::Replaced)
+            Task::Done(StateWriteEnd::Replaced)
         } else if found.state == self.wanted {
-            Task::Nothing(StateWriteEnd::Stands(found.changed_at))
+            Task::Done(StateWriteEnd::Stands(found.changed_at))
         } else if found.state.is_final() {
-            Task::Nothing(StateWriteEnd::EndedAs(found.state))
+            Task::Done(StateWriteEnd::EndedAs(found.state))
         } else {
             Task::Write
         };
         self.roll_out = found.clone();
     }
 
-    fn wait(&mut self, now: Moment, random: f64) {
+    fn back_off(&mut self, now: Moment, random: f64) {
         let doublings = self.failures.min(MAXIMUM_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let wait = (FIRST_WAIT * 2_u32.pow(doublings)).min(LONGEST_WAIT);
-        self.not_before = now + wait.mul_f64(LEAST_JITTER + random.clamp(0.0, 1.0));
+        let backoff = (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(MAXIMUM_BACKOFF);
+        self.not_before = now + backoff.mul_f64(MINIMUM_JITTER + random.clamp(0.0, 1.0));
     }
 }
--- a/crates/tansylead-route/src/roll_out/verdict.rs
+++ b/crates/tansylead-route/src/roll_out/verdict.rs
@@ -1,48 +1,48 @@
-//! How a judge comes to a conclusion, and which.
+//! Input and output of a judge's evaluation.
 
 use super::grant::Stage;
 use super::totals::Totals;
 use tansylead_types::NodeId;
 
-/// What the judge knows beside the reports.
+/// What the judge knows apart from the reports.
 #[derive(Debug, Clone, Copy)]
 pub struct TrialContext<'a> {
-    /// Daemons that run and can be reached, this one included.
+    /// Daemons that are running and reachable, including this one.
     pub members: &'a [NodeId],
-    /// Place of this judge among those that the members rank for the service; 0 is first.
+    /// Rank of this judge among those that the members choose for the service; 0 is first.
     pub rank: usize,
-    /// Whether the source has answered this daemon lately, so that a conclusion can be written.
+    /// Whether the source has answered this daemon recently, so that a conclusion can be written.
     pub is_source_fresh: bool,
 }
 
 /// How a roll-out ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Conclusion {
-    /// All requests go to the target version.
+    /// The target version was accepted: all requests go to it.
     Complete,
-    /// The target version gets nothing any more.
+    /// The target version was rejected: it gets no more requests.
     RollBack,
 }
 
-/// Why a judge concluded.
+/// Reason for a conclusion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConclusionReason {
-    /// Answers of the target version are as good as the old ones.
+    /// The answers of the target version are as good as those of the old leafs.
     AsGood,
-    /// Too many of its answers are bad.
+    /// Too many answers of the target version are bad.
     Failing,
-    /// Its answers come too slowly.
+    /// Too many answers of the target version are late.
     Slow,
-    /// No leaf of the target version answered enough to judge it.
+    /// The target version gave too few answers to judge it.
     NoEvidence,
-    /// The bound on sends leaves no room to move all requests over in time.
+    /// The bound on sends does not allow all requests to be moved in time.
     NoRoom,
-    /// Another judge concluded so and seems unable to write it.
+    /// Another judge reached this conclusion and seems unable to write it.
     TakenOver,
 }
 
 impl ConclusionReason {
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::AsGood => "as_good",
@@ -55,16 +55,16 @@
     }
 }
 
-/// What the judge wants after a look at the trial.
+/// Result of a judge's look at the trial.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TrialVerdict {
-    /// What daemons that follow this judge do.
+    /// Stage for the daemons that follow this judge.
     pub stage: Stage,
-    /// What this judge is to write to the source now, if anything.
+    /// Conclusion to write to the source now, if any.
     pub write: Option<(Conclusion, ConclusionReason)>,
 }
 
-/// Counts behind a judgement.
+/// Counts that a conclusion is based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TrialCounts {
     /// Requests to the service.
@@ -82,7 +82,7 @@
 }
 
 impl TrialCounts {
-    /// Over all routes.
+    /// Sums the counts over all routes.
     pub(crate) fn of(totals: &Totals) -> Self {
         let mut counts = Self {
             requests: totals.requests,
--- a/crates/tansylead-route/src/roll_out/version_gate.rs
+++ b/crates/tansylead-route/src/roll_out/version_gate.rs
@@ -1,31 +1,30 @@
-//! What the leafs of a service may be used for by their version.
+//! Decides by their versions which leafs of a service may be used.
 //!
-//! Invariants: nothing is sent to a version under trial beyond the last grant, or after it expired; a
-//! stage of `Commit` or `Back` holds until the source says how the order ended, or that there is
-//! another one.
+//! Invariants: nothing is sent to a version under trial beyond the limit of the last grant or after its expiry; a stage
+//! of `Commit` or `RollBack` holds until the source has the outcome of the order or another order.
 
 use super::grant::{Grant, Stage};
 use super::order::{OrderId, RollOut, RollOutState};
-use super::version_memory::{Remembered, VersionMemory};
+use super::version_memory::{MemoryVerdict, VersionMemory};
 use crate::revision::Revision;
 use tansylead_types::{Moment, SoftwareVersion};
 
-/// What a leaf may be used for by its version.
+/// How a leaf may be used, given its version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionUse {
-    /// For everything, as if there were no versions.
-    Plain,
-    /// For one more send to the version under trial, in this stage.
+    /// Without restrictions by its version.
+    Unrestricted,
+    /// For one more send, as its version is under trial and the grant for this stage allows it.
     Granted(Stage),
-    /// For nothing at the moment: its version is under trial, and no grant allows another send.
+    /// Not at the moment, as its version is under trial and no grant allows another send.
     NotGranted,
     /// Only if the service has no other leaf.
     LastResort,
-    /// For nothing.
-    Gone,
+    /// Not at all.
+    Excluded,
 }
 
-/// A grant that came.
+/// The last grant received.
 #[derive(Debug, Clone, Copy)]
 struct HeldGrant {
     stage: Stage,
@@ -33,61 +32,60 @@
     until: Moment,
 }
 
-/// The gate of one service.
+/// Version state of one service.
 #[derive(Debug, Clone, Default)]
 pub struct VersionGate {
-    /// Revision up to which the orders are known; none before the first word.
+    /// Revision that the orders are known up to; none before the first update.
     known_up_to: Option<Revision>,
     order: Option<RollOut>,
-    /// The last grant under this order.
+    /// The last grant for this order.
     grant: Option<HeldGrant>,
-    /// `Commit` or `Back`, once it was seen.
+    /// `Commit` or `RollBack`, once a grant had that stage.
     conclusion: Option<Stage>,
-    /// Sends to the target version under this order.
+    /// Number of sends to the target version under this order.
     sends: u64,
-    /// Whether the service ran the target version alone when the order came: there is nothing to try.
+    /// Whether the service already ran only the target version when the order came, so that no trial is needed.
     is_settled: bool,
     memory: VersionMemory,
 }
 
 impl VersionGate {
-    /// Takes in the order for the service, none if there is none, as it was at a revision of the
-    /// source. A word older than the last one changes nothing. Returns whether another order stands
-    /// than before.
+    /// Updates the order for the service, if any, to its state at a revision of the source. An update older than the
+    /// last one is ignored. Returns whether the order is another one than before.
     pub fn apply(&mut self, order: Option<&RollOut>, known_up_to: Revision) -> bool {
         if self.known_up_to.is_some_and(|known| known_up_to < known) {
             return false;
         }
         self.known_up_to = Some(known_up_to);
-        let is_another = !self.is_continued_by(order);
-        if is_another {
+        let is_other_order = !self.is_continued_by(order);
+        if is_other_order {
             self.end_order();
             if let Some(order) = order {
                 self.memory.forget_marks(&order.target);
                 self.is_settled = order.state == RollOutState::Ordered
                     && self
                         .memory
-                        .was_the_only_one(&order.target, order.changed_at);
+                        .was_only_version(&order.target, order.changed_at);
             }
         }
         self.order = order.cloned();
         if let Some(order) = order {
             self.memory.on_order(order);
         }
-        is_another
+        is_other_order
     }
 
-    /// Notes that an entry of this revision shows a version.
-    pub fn on_shown(&mut self, version: &SoftwareVersion, changed_at: Revision) {
-        self.memory.on_shown(version, changed_at);
+    /// Notes a leaf entry of this revision with a version.
+    pub fn on_version_entry(&mut self, version: &SoftwareVersion, changed_at: Revision) {
+        self.memory.on_version_entry(version, changed_at);
     }
 
-    /// Notes that an entry of this revision shows no version.
-    pub fn on_shown_without_version(&mut self, changed_at: Revision) {
-        self.memory.on_shown_without_version(changed_at);
+    /// Notes a leaf entry of this revision without a version.
+    pub fn on_entry_without_version(&mut self, changed_at: Revision) {
+        self.memory.on_entry_without_version(changed_at);
     }
 
-    /// Takes in a grant. Returns the stage if it is another than before.
+    /// Handles a grant. Returns the stage if it has changed.
     pub fn on_grant(&mut self, now: Moment, order: OrderId, grant: Grant) -> Option<Stage> {
         if self.trial().is_none_or(|trial| trial.order != order) {
             return None;
@@ -98,7 +96,7 @@
             limit: grant.limit,
             until: now + grant.valid,
         });
-        if self.conclusion.is_none() && matches!(grant.stage, Stage::Commit | Stage::Back) {
+        if self.conclusion.is_none() && matches!(grant.stage, Stage::Commit | Stage::RollBack) {
             self.conclusion = Some(grant.stage);
         }
         let stage = self.stage();
@@ -114,84 +112,83 @@
         Some(self.stage().unwrap_or(Stage::Trial))
     }
 
-    /// The order that has not ended; none if there is nothing to try.
+    /// The order that is under trial, if any.
     pub fn trial(&self) -> Option<&RollOut> {
         let order = self.order.as_ref();
         order.filter(|order| !order.state.is_final() && !self.is_settled)
     }
 
-    /// Whether the service ran the target version alone when its order came. Its leafs go on as before.
+    /// Whether the service already ran only the target version when its order came. Its leafs are used as before.
     pub fn is_settled(&self) -> bool {
         self.is_settled
     }
 
-    /// The stage of the order that has not ended, as far as this daemon was told. It outlasts the grant
-    /// that told it.
+    /// The stage of the order under trial by the grants so far. It remains valid after the grant has expired.
     pub fn stage(&self) -> Option<Stage> {
         let granted = self.grant.map(|grant| grant.stage);
         self.conclusion.or(granted)
     }
 
-    /// Sends to the target version that the grant still allows.
+    /// Number of sends to the target version that the grant still allows.
     pub fn sends_left(&self, now: Moment) -> u64 {
-        let fresh = self.grant.filter(|grant| now < grant.until);
-        let open = fresh.filter(|_| self.conclusion.is_none() && self.trial().is_some());
+        let valid = self.grant.filter(|grant| now < grant.until);
+        let open = valid.filter(|_| self.conclusion.is_none() && self.trial().is_some());
         open.map_or(0, |grant| grant.limit.saturating_sub(self.sends))
     }
 
-    /// Whether leafs of this version are the target of an order that has not ended.
+    /// Whether this version is the target of the order under trial.
     pub fn is_under_trial(&self, version: Option<&SoftwareVersion>) -> bool {
         let trial = self.trial();
         trial.is_some_and(|trial| Some(&trial.target) == version)
     }
 
-    /// What a leaf may be used for. `is_word_old` tells whether the orders may have changed unseen.
+    /// How a leaf may be used. `are_orders_stale` tells that the orders may have changed unnoticed.
     pub fn use_of(
         &self,
         now: Moment,
         version: Option<&SoftwareVersion>,
         changed_at: Revision,
-        is_word_old: bool,
+        are_orders_stale: bool,
     ) -> VersionUse {
         if self.is_under_trial(version) {
-            return self.use_of_target(now, is_word_old);
+            return self.use_of_target(now, are_orders_stale);
         }
         if self.trial().is_some() && self.conclusion == Some(Stage::Commit) {
-            return VersionUse::Gone;
+            return VersionUse::Excluded;
         }
         let Some(version) = version else {
             let is_stopped = self.memory.is_stopped(None, changed_at);
             return if is_stopped {
-                VersionUse::Gone
+                VersionUse::Excluded
             } else {
-                VersionUse::Plain
+                VersionUse::Unrestricted
             };
         };
         let Some(known_up_to) = self.known_up_to else {
             return VersionUse::LastResort;
         };
-        match self.memory.judge(version, changed_at, known_up_to) {
-            Remembered::Plain => VersionUse::Plain,
-            Remembered::Doubtful => VersionUse::LastResort,
-            Remembered::Gone => VersionUse::Gone,
+        match self.memory.verdict(version, changed_at, known_up_to) {
+            MemoryVerdict::Unrestricted => VersionUse::Unrestricted,
+            MemoryVerdict::Doubtful => VersionUse::LastResort,
+            MemoryVerdict::Excluded => VersionUse::Excluded,
         }
     }
 
-    fn use_of_target(&self, now: Moment, is_word_old: bool) -> VersionUse {
+    fn use_of_target(&self, now: Moment, are_orders_stale: bool) -> VersionUse {
         match self.conclusion {
-            Some(Stage::Commit) => return VersionUse::Plain,
-            Some(Stage::Back) => return VersionUse::Gone,
+            Some(Stage::Commit) => return VersionUse::Unrestricted,
+            Some(Stage::RollBack) => return VersionUse::Excluded,
             _ => {}
         }
         match self.stage() {
             Some(stage) if self.sends_left(now) > 0 => VersionUse::Granted(stage),
-            // The order may have completed unseen.
-            _ if is_word_old => VersionUse::LastResort,
+            // The order may have completed unnoticed.
+            _ if are_orders_stale => VersionUse::LastResort,
             _ => VersionUse::NotGranted,
         }
     }
 
-    /// Whether this is the order that stands. One that had ended and has not any more was given again.
+    /// Whether this is the same order as before. An order that had ended, and now has not, was given again.
     fn is_continued_by(&self, order: Option<&RollOut>) -> bool {
         match (&self.order, order) {
             (None, None) => true,
@@ -203,8 +200,8 @@
     }
 
     fn end_order(&mut self) {
-        let was_judged_good = self.conclusion == Some(Stage::Commit);
-        if let Some(trial) = self.trial().filter(|_| !was_judged_good) {
+        let was_accepted = self.conclusion == Some(Stage::Commit);
+        if let Some(trial) = self.trial().filter(|_| !was_accepted) {
             self.memory.on_withdrawn(&trial.target.clone());
         }
         self.grant = None;
--- a/crates/tansylead-route/src/roll_out/version_memory.rs
+++ b/crates/tansylead-route/src/roll_out/version_memory.rs
@@ -1,29 +1,29 @@
-//! What is remembered of a service's versions beyond the order that stands.
+//! Memory of a service's versions beyond its current order.
 
 use super::order::{OrderId, RollOut, RollOutState};
 use crate::revision::Revision;
 use tansylead_types::SoftwareVersion;
 
-/// What an ended order left behind for its version.
+/// Lasting effect of an order that has ended on its target version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mark {
     /// The version was rolled back.
     RolledBack,
-    /// Its order was taken back before it ended.
+    /// The version's order was withdrawn before it ended.
     Withdrawn,
 }
 
-/// A version that leafs of the service have shown.
+/// A version that was found in leaf entries of the service.
 #[derive(Debug, Clone)]
-struct ShownVersion {
+struct SeenVersion {
     version: SoftwareVersion,
-    /// Oldest revision of an entry that shows it.
+    /// Oldest revision of an entry with this version.
     since: Revision,
-    /// Newest one.
+    /// Newest revision of an entry with this version.
     latest: Revision,
 }
 
-/// The last completion.
+/// The last completed order.
 #[derive(Debug, Clone)]
 struct Completion {
     order: OrderId,
@@ -31,38 +31,37 @@
     at: Revision,
 }
 
-/// How a leaf may be used by what is remembered of its version.
+/// How a leaf may be used, given what is remembered of its version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Remembered {
-    /// Nothing speaks against it.
-    Plain,
-    /// Its version is in doubt.
+pub(super) enum MemoryVerdict {
+    /// Without restrictions.
+    Unrestricted,
+    /// Only as a last resort, as its version may be under trial or bad.
     Doubtful,
-    /// It has been stopped, or its version was rolled back.
-    Gone,
+    /// Not at all, as it was stopped or its version was rolled back.
+    Excluded,
 }
 
-/// Versions of one service. One short record for each version that the service had in this daemon's
-/// life.
+/// Versions of one service: a short record for each version that it has had since this daemon started.
 #[derive(Debug, Clone, Default)]
 pub(super) struct VersionMemory {
-    shown: Vec<ShownVersion>,
+    seen: Vec<SeenVersion>,
     /// Newest revision of an entry without a version.
-    latest_without: Option<Revision>,
+    latest_without_version: Option<Revision>,
     marks: Vec<(SoftwareVersion, Mark)>,
     completion: Option<Completion>,
 }
 
 impl VersionMemory {
-    /// Notes that an entry of this revision shows the version.
-    pub(super) fn on_shown(&mut self, version: &SoftwareVersion, changed_at: Revision) {
-        let mut shown = self.shown.iter_mut();
-        match shown.find(|shown| shown.version == *version) {
-            Some(shown) => {
-                shown.since = shown.since.min(changed_at);
-                shown.latest = shown.latest.max(changed_at);
+    /// Notes a leaf entry of this revision with the version.
+    pub(super) fn on_version_entry(&mut self, version: &SoftwareVersion, changed_at: Revision) {
+        let mut seen = self.seen.iter_mut();
+        match seen.find(|seen| seen.version == *version) {
+            Some(seen) => {
+                seen.since = seen.since.min(changed_at);
+                seen.latest = seen.latest.max(changed_at);
             }
-            None => self.shown.push(ShownVersion {
+            None => self.seen.push(SeenVersion {
                 version: version.clone(),
                 since: changed_at,
                 latest: changed_at,
@@ -70,58 +69,58 @@
         }
     }
 
-    /// Notes that an entry of this revision shows no version.
-    pub(super) fn on_shown_without_version(&mut self, changed_at: Revision) {
-        self.latest_without = self.latest_without.max(Some(changed_at));
+    /// Notes a leaf entry of this revision without a version.
+    pub(super) fn on_entry_without_version(&mut self, changed_at: Revision) {
+        self.latest_without_version = self.latest_without_version.max(Some(changed_at));
     }
 
-    /// Takes in the state of the order that stands.
+    /// Updates the memory by the state of the current order.
     pub(super) fn on_order(&mut self, order: &RollOut) {
         match order.state {
             RollOutState::Ordered | RollOutState::Running => {}
             RollOutState::RolledBack => self.mark(&order.target, Mark::RolledBack),
             RollOutState::Completed => {
                 self.forget_marks(&order.target);
-                self.on_shown(&order.target, order.changed_at);
+                self.on_version_entry(&order.target, order.changed_at);
                 self.on_completed(order);
             }
         }
     }
 
-    /// Notes that a new order names the version: what was before counts no longer.
+    /// Removes the marks of a version, as a new order supersedes them.
     pub(super) fn forget_marks(&mut self, version: &SoftwareVersion) {
         self.marks.retain(|(marked, _)| marked != version);
     }
 
-    /// Notes that the order for the version was taken back before it ended.
+    /// Notes that the order for the version was withdrawn before it ended.
     pub(super) fn on_withdrawn(&mut self, version: &SoftwareVersion) {
         self.mark(version, Mark::Withdrawn);
     }
 
-    /// How a leaf may be used, if the orders are known up to this revision.
-    pub(super) fn judge(
+    /// How a leaf may be used if the orders are known up to this revision.
+    pub(super) fn verdict(
         &self,
         version: &SoftwareVersion,
         changed_at: Revision,
         known_up_to: Revision,
-    ) -> Remembered {
+    ) -> MemoryVerdict {
         let mut marks = self.marks.iter();
         match marks.find(|(marked, _)| marked == version) {
-            Some((_, Mark::RolledBack)) => return Remembered::Gone,
-            Some((_, Mark::Withdrawn)) => return Remembered::Doubtful,
+            Some((_, Mark::RolledBack)) => return MemoryVerdict::Excluded,
+            Some((_, Mark::Withdrawn)) => return MemoryVerdict::Doubtful,
             None => {}
         }
         if self.is_stopped(Some(version), changed_at) {
-            return Remembered::Gone;
+            return MemoryVerdict::Excluded;
         }
-        if changed_at <= known_up_to || self.was_shown(version, known_up_to) {
-            return Remembered::Plain;
+        if changed_at <= known_up_to || self.was_seen(version, known_up_to) {
+            return MemoryVerdict::Unrestricted;
         }
-        // Its order may have come before it.
-        Remembered::Doubtful
+        // There may be an order for the version that is not known yet.
+        MemoryVerdict::Doubtful
     }
 
-    /// Whether a leaf was stopped by a completion, although its entry may still stand.
+    /// Whether a leaf was stopped by a completion, although its entry may still exist.
     pub(super) fn is_stopped(
         &self,
         version: Option<&SoftwareVersion>,
@@ -131,22 +130,23 @@
         completion.is_some_and(|done| version != Some(&done.target) && changed_at < done.at)
     }
 
-    /// Whether leafs showed this version before a revision, and none that the last completion has not stopped
-    /// showed another one, which was not rolled back, or none. Entries after the revision count as well: a daemon that starts during a
-    /// roll-out may see the last change of an entry only.
-    pub(super) fn was_the_only_one(&self, version: &SoftwareVersion, before: Revision) -> bool {
+    /// Whether the service ran only this version before a revision: an entry had it, and all entries without a version
+    /// or with another one that was not rolled back belong to leafs that the last completion stopped. These entries
+    /// count even if they are newer than the revision, as a daemon that starts during a roll-out may see only the last
+    /// change of an entry.
+    pub(super) fn was_only_version(&self, version: &SoftwareVersion, before: Revision) -> bool {
         let stopped = self
             .completion
             .as_ref()
             .map_or(Revision::first_era(0), |done| done.at);
-        let mut shown = self.shown.iter();
-        let was_there = shown.any(|shown| shown.version == *version && shown.since < before);
-        let is_out = |shown: &ShownVersion| self.was_rolled_back(&shown.version);
-        let others = self.shown.iter().filter(|shown| shown.version != *version);
-        let others = others.filter(|shown| !is_out(shown));
-        let latest = others.map(|shown| Some(shown.latest));
-        let mut latest = latest.chain([self.latest_without]).flatten();
-        was_there && !latest.any(|latest| latest >= stopped)
+        let mut seen = self.seen.iter();
+        let was_running = seen.any(|seen| seen.version == *version && seen.since < before);
+        let is_rolled_back = |seen: &SeenVersion| self.was_rolled_back(&seen.version);
+        let others = self.seen.iter().filter(|seen| seen.version != *version);
+        let others = others.filter(|seen| !is_rolled_back(seen));
+        let latest = others.map(|seen| Some(seen.latest));
+        let mut latest = latest.chain([self.latest_without_version]).flatten();
+        was_running && !latest.any(|latest| latest >= stopped)
     }
 
     fn was_rolled_back(&self, version: &SoftwareVersion) -> bool {
@@ -154,9 +154,9 @@
         self.marks.contains(&mark)
     }
 
-    fn was_shown(&self, version: &SoftwareVersion, known_up_to: Revision) -> bool {
-        let mut shown = self.shown.iter();
-        shown.any(|shown| shown.version == *version && shown.since <= known_up_to)
+    fn was_seen(&self, version: &SoftwareVersion, known_up_to: Revision) -> bool {
+        let mut seen = self.seen.iter();
+        seen.any(|seen| seen.version == *version && seen.since <= known_up_to)
     }
 
     fn mark(&mut self, version: &SoftwareVersion, mark: Mark) {
@@ -164,7 +164,7 @@
         self.marks.push((version.clone(), mark));
     }
 
-    /// Later changes of a completed order stop no more leafs.
+    /// Notes a completion. Later changes of the same order are ignored, so that they stop no further leafs.
     fn on_completed(&mut self, order: &RollOut) {
         let known = self.completion.as_ref();
         if known.is_some_and(|done| done.order == order.order) {
--- a/crates/tansylead-route/tests/roll_out_trial.rs
+++ b/crates/tansylead-route/tests/roll_out_trial.rs
@@ -54,7 +54,7 @@
     fleet.play(250);
     let expected = Some((Conclusion::RollBack, ConclusionReason::NoEvidence));
     assert_eq!(fleet.verdict().write, expected);
-    assert_eq!(fleet.verdict().stage, Stage::Back);
+    assert_eq!(fleet.verdict().stage, Stage::RollBack);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     fleet.fails_new = false;
     for _ in 0..60 {
         fleet.play(250);
-        assert_eq!(fleet.verdict().stage, Stage::Back);
+        assert_eq!(fleet.verdict().stage, Stage::RollBack);
         assert_eq!(fleet.verdict().write, expected);
     }
 }
@@ -92,7 +92,7 @@
     fleet.fails_new = true;
     fleet.is_source_fresh = false;
     fleet.play_until(20_000);
-    assert_eq!(fleet.verdict().stage, Stage::Back);
+    assert_eq!(fleet.verdict().stage, Stage::RollBack);
     assert_eq!(fleet.verdict().write, None);
     fleet.is_source_fresh = true;
     fleet.play(250);
@@ -178,12 +178,12 @@
     fleet.play_until(1_750);
     assert_eq!(fleet.verdict().stage, Stage::Trial);
     fleet.play(250);
-    assert_eq!(fleet.verdict().stage, Stage::Back);
+    assert_eq!(fleet.verdict().stage, Stage::RollBack);
 }
 
 #[test]
 fn a_conclusion_of_another_judge_is_taken_over_in_the_order_of_ranks() {
-    let back = (Stage::Back, Conclusion::RollBack);
+    let back = (Stage::RollBack, Conclusion::RollBack);
     for (stage, conclusion) in [back, (Stage::Commit, Conclusion::Complete)] {
         let mut fleet = Fleet::new(3);
         fleet.rank = 2;
--- a/crates/tansylead-route/tests/roll_out_world/daemon.rs
+++ b/crates/tansylead-route/tests/roll_out_world/daemon.rs
@@ -94,7 +94,7 @@
         let is_started = now >= service.starts_after;
         let (is_new, stage) = match self.stage(now) {
             Some((Stage::Commit, _)) => (true, Some(Stage::Commit)),
-            Some((Stage::Back, _)) | None => (false, None),
+            Some((Stage::RollBack, _)) | None => (false, None),
             Some((stage, limit)) => {
                 let is_granted = self.report.evidence.new_sends < limit;
                 (is_started && is_granted, Some(stage))
--- a/crates/tansylead-route/tests/version_gate.rs
+++ b/crates/tansylead-route/tests/version_gate.rs
@@ -41,7 +41,7 @@
 /// A service with leafs of `old`, of which the orders are known.
 fn gate() -> VersionGate {
     let mut gate = VersionGate::default();
-    gate.on_shown(&version("old"), BEFORE);
+    gate.on_version_entry(&version("old"), BEFORE);
     gate.apply(None, BEFORE);
     gate
 }
@@ -49,7 +49,7 @@
 /// The same with an order to roll out `new`.
 fn gate_under_trial() -> VersionGate {
     let mut gate = gate();
-    gate.on_shown(&version("new"), LATER);
+    gate.on_version_entry(&version("new"), LATER);
     gate.apply(
         Some(&order(1, "new", RollOutState::Running, ORDERED)),
         ORDERED,
@@ -72,10 +72,10 @@
 #[test]
 fn without_an_order_every_leaf_is_plain() {
     let gate = gate();
-    assert_eq!(use_of_old(&gate), VersionUse::Plain);
-    assert_eq!(use_of(&gate, "another", BEFORE), VersionUse::Plain);
+    assert_eq!(use_of_old(&gate), VersionUse::Unrestricted);
+    assert_eq!(use_of(&gate, "another", BEFORE), VersionUse::Unrestricted);
     let unversioned = gate.use_of(NOW, None, LATER, true);
-    assert_eq!(unversioned, VersionUse::Plain);
+    assert_eq!(unversioned, VersionUse::Unrestricted);
 }
 
 #[test]
@@ -84,7 +84,7 @@
         let mut gate = gate();
         gate.apply(Some(&order(1, "new", state, ORDERED)), ORDERED);
         assert_eq!(use_of_new(&gate), VersionUse::NotGranted);
-        assert_eq!(use_of_old(&gate), VersionUse::Plain);
+        assert_eq!(use_of_old(&gate), VersionUse::Unrestricted);
     }
 }
 
@@ -98,7 +98,7 @@
             assert_eq!(gate.on_sent(Some(&version("new"))), Some(stage));
         }
         assert_eq!(use_of_new(&gate), VersionUse::NotGranted);
-        assert_eq!(use_of_old(&gate), VersionUse::Plain);
+        assert_eq!(use_of_old(&gate), VersionUse::Unrestricted);
     }
 }
 
@@ -148,26 +148,29 @@
     let later = NOW + VALID * 10;
     let target = gate.use_of(later, Some(&version("new")), LATER, false);
     let other = gate.use_of(later, Some(&version("old")), BEFORE, false);
-    assert_eq!((target, other), (VersionUse::Plain, VersionUse::Gone));
+    assert_eq!(
+        (target, other),
+        (VersionUse::Unrestricted, VersionUse::Excluded)
+    );
     assert_eq!(gate.stage(), Some(Stage::Commit));
 }
 
 #[test]
 fn back_is_remembered_until_the_source_says_otherwise() {
     let mut gate = gate_under_trial();
-    gate.on_grant(NOW, OrderId(1), grant(Stage::Back, 0));
+    gate.on_grant(NOW, OrderId(1), grant(Stage::RollBack, 0));
     gate.on_grant(NOW, OrderId(1), grant(Stage::Trial, 100));
     let new = version("new");
     for is_word_old in [false, true] {
         let target = gate.use_of(NOW, Some(&new), LATER, is_word_old);
-        assert_eq!(target, VersionUse::Gone);
+        assert_eq!(target, VersionUse::Excluded);
     }
     let running = order(1, "new", RollOutState::Running, Revision::first_era(25));
     gate.apply(Some(&running), Revision::first_era(25));
-    assert_eq!(use_of_new(&gate), VersionUse::Gone);
+    assert_eq!(use_of_new(&gate), VersionUse::Excluded);
     let completed = order(1, "new", RollOutState::Completed, ENDED);
     gate.apply(Some(&completed), ENDED);
-    assert_eq!(use_of_new(&gate), VersionUse::Plain);
+    assert_eq!(use_of_new(&gate), VersionUse::Unrestricted);
 }
 
 #[test]
@@ -175,13 +178,13 @@
     let mut gate = gate_under_trial();
     let completed = order(1, "new", RollOutState::Completed, ENDED);
     gate.apply(Some(&completed), ENDED);
-    assert_eq!(use_of_old(&gate), VersionUse::Gone);
-    assert_eq!(gate.use_of(NOW, None, BEFORE, false), VersionUse::Gone);
-    assert_eq!(use_of(&gate, "new", BEFORE), VersionUse::Plain);
-    assert_eq!(use_of_new(&gate), VersionUse::Plain);
-    gate.on_shown(&version("newest"), LATER);
+    assert_eq!(use_of_old(&gate), VersionUse::Excluded);
+    assert_eq!(gate.use_of(NOW, None, BEFORE, false), VersionUse::Excluded);
+    assert_eq!(use_of(&gate, "new", BEFORE), VersionUse::Unrestricted);
+    assert_eq!(use_of_new(&gate), VersionUse::Unrestricted);
+    gate.on_version_entry(&version("newest"), LATER);
     gate.apply(Some(&completed), LATER);
-    assert_eq!(use_of(&gate, "newest", LATER), VersionUse::Plain);
+    assert_eq!(use_of(&gate, "newest", LATER), VersionUse::Unrestricted);
 }
 
 #[test]
@@ -190,14 +193,14 @@
     let completed = order(1, "new", RollOutState::Completed, ENDED);
     gate.apply(Some(&completed), ENDED);
     gate.apply(None, Revision::first_era(31));
-    assert_eq!(use_of_old(&gate), VersionUse::Gone);
-    assert_eq!(use_of_new(&gate), VersionUse::Plain);
+    assert_eq!(use_of_old(&gate), VersionUse::Excluded);
+    assert_eq!(use_of_new(&gate), VersionUse::Unrestricted);
     gate.apply(
         Some(&order(2, "newest", RollOutState::Ordered, LATER)),
         LATER,
     );
-    assert_eq!(use_of_old(&gate), VersionUse::Gone);
-    assert_eq!(use_of_new(&gate), VersionUse::Plain);
+    assert_eq!(use_of_old(&gate), VersionUse::Excluded);
+    assert_eq!(use_of_new(&gate), VersionUse::Unrestricted);
 }
 
 #[test]
@@ -205,11 +208,11 @@
     let mut gate = gate_under_trial();
     let completed = |at| order(1, "new", RollOutState::Completed, at);
     gate.apply(Some(&completed(ENDED)), ENDED);
-    gate.on_shown(&version("newest"), Revision::first_era(35));
+    gate.on_version_entry(&version("newest"), Revision::first_era(35));
     gate.apply(Some(&completed(LATER)), LATER);
     assert_eq!(
         use_of(&gate, "newest", Revision::first_era(35)),
-        VersionUse::Plain
+        VersionUse::Unrestricted
     );
 }
 
@@ -218,15 +221,19 @@
     let mut gate = gate_under_trial();
     let rolled_back = order(1, "new", RollOutState::RolledBack, ENDED);
     gate.apply(Some(&rolled_back), ENDED);
-    assert_eq!(use_of_new(&gate), VersionUse::Gone);
-    assert_eq!(use_of_old(&gate), VersionUse::Plain);
+    assert_eq!(use_of_new(&gate), VersionUse::Excluded);
+    assert_eq!(use_of_old(&gate), VersionUse::Unrestricted);
     gate.apply(None, LATER);
-    assert_eq!(use_of_new(&gate), VersionUse::Gone, "the object is gone");
+    assert_eq!(
+        use_of_new(&gate),
+        VersionUse::Excluded,
+        "the object is gone"
+    );
     let other = order(2, "newest", RollOutState::Running, Revision::first_era(50));
     gate.apply(Some(&other), Revision::first_era(50));
     assert_eq!(
         use_of_new(&gate),
-        VersionUse::Gone,
+        VersionUse::Excluded,
         "another version's order"
     );
     let again = order(3, "new", RollOutState::Ordered, Revision::first_era(60));
@@ -254,7 +261,7 @@
     gate.on_grant(NOW, OrderId(1), grant(Stage::Trial, 9));
     gate.apply(None, LATER);
     assert_eq!(use_of_new(&gate), VersionUse::LastResort);
-    assert_eq!(use_of_old(&gate), VersionUse::Plain);
+    assert_eq!(use_of_old(&gate), VersionUse::Unrestricted);
     let again = order(2, "new", RollOutState::Ordered, Revision::first_era(50));
     gate.apply(Some(&again), Revision::first_era(50));
     assert_eq!(use_of_new(&gate), VersionUse::NotGranted);
@@ -274,23 +281,31 @@
 #[test]
 fn an_unknown_version_is_held_until_the_orders_are_known() {
     let mut gate = gate();
-    gate.on_shown(&version("new"), ENDED);
+    gate.on_version_entry(&version("new"), ENDED);
     assert_eq!(use_of(&gate, "new", ENDED), VersionUse::LastResort);
-    assert_eq!(use_of(&gate, "old", ENDED), VersionUse::Plain, "known");
+    assert_eq!(
+        use_of(&gate, "old", ENDED),
+        VersionUse::Unrestricted,
+        "known"
+    );
     gate.apply(None, ORDERED);
     assert_eq!(use_of(&gate, "new", ENDED), VersionUse::LastResort);
     gate.apply(None, ENDED);
-    assert_eq!(use_of(&gate, "new", ENDED), VersionUse::Plain);
-    assert_eq!(use_of(&gate, "new", LATER), VersionUse::Plain, "known now");
+    assert_eq!(use_of(&gate, "new", ENDED), VersionUse::Unrestricted);
+    assert_eq!(
+        use_of(&gate, "new", LATER),
+        VersionUse::Unrestricted,
+        "known now"
+    );
 }
 
 #[test]
 fn before_the_first_word_on_orders_versions_are_the_last_resort() {
     let mut gate = VersionGate::default();
-    gate.on_shown(&version("old"), BEFORE);
+    gate.on_version_entry(&version("old"), BEFORE);
     assert_eq!(use_of_old(&gate), VersionUse::LastResort);
     let unversioned = gate.use_of(NOW, None, BEFORE, false);
-    assert_eq!(unversioned, VersionUse::Plain);
+    assert_eq!(unversioned, VersionUse::Unrestricted);
 }
 
 #[test]
@@ -302,7 +317,7 @@
     gate.on_grant(NOW, OrderId(1), grant(Stage::Trial, 1));
     assert_eq!(at(&gate), VersionUse::Granted(Stage::Trial));
     let old = gate.use_of(NOW, Some(&version("old")), BEFORE, true);
-    assert_eq!(old, VersionUse::Plain);
+    assert_eq!(old, VersionUse::Unrestricted);
 }
 
 #[test]
@@ -312,7 +327,7 @@
     gate.apply(Some(&rolled_back), ENDED);
     let running = order(1, "new", RollOutState::Running, ORDERED);
     assert!(!gate.apply(Some(&running), ORDERED));
-    assert_eq!(use_of_new(&gate), VersionUse::Gone);
+    assert_eq!(use_of_new(&gate), VersionUse::Excluded);
 }
 
 #[test]
@@ -322,7 +337,7 @@
     assert_eq!(tell(Stage::Trial), Some(Stage::Trial));
     assert_eq!(tell(Stage::Trial), None);
     assert_eq!(tell(Stage::Shift), Some(Stage::Shift));
-    assert_eq!(tell(Stage::Back), Some(Stage::Back));
+    assert_eq!(tell(Stage::RollBack), Some(Stage::RollBack));
     assert_eq!(tell(Stage::Shift), None);
     assert_eq!(tell(Stage::Commit), None);
 }
@@ -340,7 +355,7 @@
     let stages = prop_oneof![
         4 => Just(Stage::Trial),
         4 => Just(Stage::Shift),
-        1 => Just(Stage::Back),
+        1 => Just(Stage::RollBack),
     ];
     let event = prop_oneof![
         (stages, 0..20_u64).prop_map(|(stage, limit)| Event::Granted(stage, limit)),
@@ -364,7 +379,7 @@
                 Event::Granted(stage, limit) => {
                     gate.on_grant(now, OrderId(1), grant(stage, limit));
                     held = Some((limit, now + VALID));
-                    is_back |= stage == Stage::Back;
+                    is_back |= stage == Stage::RollBack;
                 }
                 Event::Sent => {
                     let allowed = gate.use_of(now, Some(&new), LATER, false);
@@ -376,7 +391,7 @@
                     } else {
                         let room = held.is_some_and(|(limit, until)| sends < limit && now < until);
                         prop_assert!(is_back || !room, "a grant with room is used");
-                        prop_assert!(matches!(allowed, VersionUse::NotGranted | VersionUse::Gone));
+                        prop_assert!(matches!(allowed, VersionUse::NotGranted | VersionUse::Excluded));
                     }
                 }
                 Event::Passed(millis) => now = now + Duration::from_millis(millis),
@@ -391,7 +406,7 @@
             if let Event::Granted(stage, limit) = event {
                 gate.on_grant(NOW, OrderId(1), grant(stage, limit));
             }
-            prop_assert_eq!(use_of_old(&gate), VersionUse::Plain);
+            prop_assert_eq!(use_of_old(&gate), VersionUse::Unrestricted);
         }
     }
 
@@ -407,7 +422,7 @@
             let at = Revision::first_era(50 + step as u64);
             let next = order(10 + step as u64, targets[target], RollOutState::Running, at);
             gate.apply(stands.then_some(&next), at);
-            prop_assert_eq!(use_of_new(&gate), VersionUse::Gone);
+            prop_assert_eq!(use_of_new(&gate), VersionUse::Excluded);
         }
     }
 }
@@ -421,11 +436,11 @@
     );
     assert!(gate.is_settled());
     assert_eq!(gate.trial(), None);
-    assert_eq!(use_of(&gate, "old", BEFORE), VersionUse::Plain);
-    assert_eq!(use_of(&gate, "old", LATER), VersionUse::Plain);
+    assert_eq!(use_of(&gate, "old", BEFORE), VersionUse::Unrestricted);
+    assert_eq!(use_of(&gate, "old", LATER), VersionUse::Unrestricted);
     let completed = order(1, "old", RollOutState::Completed, ENDED);
     gate.apply(Some(&completed), ENDED);
-    assert_eq!(use_of(&gate, "old", BEFORE), VersionUse::Plain);
+    assert_eq!(use_of(&gate, "old", BEFORE), VersionUse::Unrestricted);
 }
 
 #[test]
--- a/crates/tansylead-route/tests/version_settled.rs
+++ b/crates/tansylead-route/tests/version_settled.rs
@@ -35,13 +35,13 @@
 /// A service that was moved to `good`, and then had an order for `bad` that ended in this way.
 fn after_an_order_for_bad(end: Option<RollOutState>) -> VersionGate {
     let mut gate = VersionGate::default();
-    gate.on_shown(&version("old"), Revision::first_era(5));
-    gate.on_shown(&version("good"), Revision::first_era(8));
+    gate.on_version_entry(&version("old"), Revision::first_era(5));
+    gate.on_version_entry(&version("good"), Revision::first_era(8));
     let completed = order(1, "good", RollOutState::Completed, BEFORE);
     gate.apply(Some(&completed), BEFORE);
     let running = order(2, "bad", RollOutState::Running, FIRST);
     gate.apply(Some(&running), FIRST);
-    gate.on_shown(&version("bad"), STARTED);
+    gate.on_version_entry(&version("bad"), STARTED);
     let ended = end.map(|state| order(2, "bad", state, ENDED));
     gate.apply(ended.as_ref(), ENDED);
     gate
@@ -63,8 +63,8 @@
 #[test]
 fn a_version_that_was_completed_is_alone_until_another_one_is_shown() {
     let mut gate = VersionGate::default();
-    gate.on_shown(&version("old"), Revision::first_era(5));
-    gate.on_shown(&version("good"), Revision::first_era(8));
+    gate.on_version_entry(&version("old"), Revision::first_era(5));
+    gate.on_version_entry(&version("good"), Revision::first_era(8));
     let completed = order(1, "good", RollOutState::Completed, BEFORE);
     gate.apply(Some(&completed), BEFORE);
     let again = order(2, "good", RollOutState::Ordered, FIRST);
@@ -77,8 +77,8 @@
     // Regression: a daemon that starts during a roll-out sees the last change of each entry only, which may have
     // come after the order.
     let mut gate = VersionGate::default();
-    gate.on_shown(&version("bad"), BEFORE);
-    gate.on_shown(&version("good"), LATER);
+    gate.on_version_entry(&version("bad"), BEFORE);
+    gate.on_version_entry(&version("good"), LATER);
     let ordered = order(1, "bad", RollOutState::Ordered, FIRST);
     gate.apply(Some(&ordered), LATER);
     assert!(!gate.is_settled());
@@ -88,8 +88,8 @@
 fn leafs_without_a_version_count_as_leafs_of_another_version() {
     // Regression: they were not remembered at all.
     let mut gate = VersionGate::default();
-    gate.on_shown_without_version(BEFORE);
-    gate.on_shown(&version("bad"), BEFORE);
+    gate.on_entry_without_version(BEFORE);
+    gate.on_version_entry(&version("bad"), BEFORE);
     let ordered = order(1, "bad", RollOutState::Ordered, FIRST);
     gate.apply(Some(&ordered), FIRST);
     assert!(!gate.is_settled());
@@ -105,11 +105,11 @@
 fn a_version_that_came_back_after_a_completion_counts_although_it_was_shown_before() {
     // Regression: only the oldest entry of a version was looked at, and that was stopped by the completion.
     let mut gate = VersionGate::default();
-    gate.on_shown(&version("old"), Revision::first_era(5));
-    gate.on_shown(&version("new"), Revision::first_era(8));
+    gate.on_version_entry(&version("old"), Revision::first_era(5));
+    gate.on_version_entry(&version("new"), Revision::first_era(8));
     let completed = order(1, "new", RollOutState::Completed, BEFORE);
     gate.apply(Some(&completed), BEFORE);
-    gate.on_shown(&version("old"), STARTED);
+    gate.on_version_entry(&version("old"), STARTED);
     let again = order(2, "new", RollOutState::Ordered, SECOND);
     gate.apply(Some(&again), SECOND);
     assert!(!gate.is_settled());
