--- a/crates/tansylead-route/src/quarantine/record.rs
+++ b/crates/tansylead-route/src/quarantine/record.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Strikes from which on a request is suspect: a single leaf may end for any reason.
-const SUSPECT_STRIKES: usize = 2;
+/// Runs that leafs ended under before a request is suspect: a single leaf may end for any reason.
+const SUSPECT_RUNS: usize = 2;
 /// Successive strikes needed to quarantine a request. Even while many leafs crash, an innocent request meets a
 /// crashing leaf with a probability of a few in a hundred, so three in a row have one of a few in 100,000. Two may
 /// be one event that takes down all leafs.
@@ -74,9 +74,7 @@
     /// Strikes of one event suffice, except in the content scope, which also applies to other callers.
     fn is_suspect(&self, scope: FingerprintScope) -> bool {
         match scope {
-            FingerprintScope::Exact | FingerprintScope::Path => {
-                self.strikes.len() >= SUSPECT_STRIKES
-            }
+            FingerprintScope::Exact | FingerprintScope::Path => self.strikes.len() >= SUSPECT_RUNS,
             FingerprintScope::Content => self.successive_runs() > 1 && self.has_several_callers(),
         }
     }
--- a/crates/tansylead-route/src/roll_out/order_memory.rs
+++ b/crates/tansylead-route/src/roll_out/order_memory.rs
@@ -68,9 +68,7 @@
         for (service, order) in &current.orders {
             let order = order.clone();
             match source.get(service) {
-                Some(again) if again.is_equivalent_to(&order) => {
-                    self.remember_outcome(order, again)
-                }
+                Some(again) if again.is_equivalent_to(&order) => self.keep_outcome(order, again),
                 _ => {
                     let lost = LostOrder { order, kept_until };
                     self.orders.insert(service.clone(), lost);
@@ -79,7 +77,7 @@
         }
     }
 
-    fn remember_outcome(&mut self, ended: RollOut, source: &RollOut) {
+    fn keep_outcome(&mut self, ended: RollOut, source: &RollOut) {
         if ended.state.is_final() && !source.state.is_final() {
             let outcome = LostOutcome {
                 ended,
@@ -95,7 +93,7 @@
         for (service, lost) in lost {
             match source.get(&service) {
                 Some(again) if again.is_equivalent_to(&lost.order) => {
-                    self.remember_outcome(lost.order, again);
+                    self.keep_outcome(lost.order, again);
                 }
                 _ if now < lost.kept_until => {
                     self.orders.insert(service, lost);
--- a/crates/tansylead-route/tests/order_memory.rs
+++ b/crates/tansylead-route/tests/order_memory.rs
@@ -1,4 +1,4 @@
-//! Orders to roll out and their outcomes, when the source comes back from an older copy.
+//! Roll-out orders and their outcomes after the source was restored from a backup.
 
 use std::time::Duration;
 use tansylead_route::{Era, OrderId, OrderMemory, Revision, RollOut, RollOutState, RollOuts};
@@ -12,7 +12,7 @@
     ServiceName::new("service").expect("valid name")
 }
 
-/// Orders at a position, with one that was made as told, if any.
+/// The set of orders at a revision, with at most one order of this target, creation text and state.
 fn orders(era: u64, number: u64, order: Option<(&str, &str, RollOutState)>) -> RollOuts {
     let duration = Duration::from_secs(20);
     let at = Revision::new(Era(era), number);
@@ -33,30 +33,30 @@
     }
 }
 
-fn state(standing: &RollOuts) -> Option<RollOutState> {
-    standing.get(&service()).map(|order| order.state)
+fn state(current: &RollOuts) -> Option<RollOutState> {
+    current.get(&service()).map(|order| order.state)
 }
 
 #[test]
 fn an_outcome_that_the_source_lost_holds_and_is_written_again() {
     let mut memory = OrderMemory::default();
     let ended = orders(1, 500, Some(("v2", "7", RollOutState::RolledBack)));
-    let told = orders(2, 400, Some(("v2", "7", RollOutState::Running)));
-    let standing = memory.reconcile(at(0), &ended, &told, true);
-    assert_eq!(state(&standing), Some(RollOutState::RolledBack));
-    let lost: Vec<_> = memory.lost_outcomes(&told).collect();
-    assert_eq!(lost.len(), 1);
+    let source = orders(2, 400, Some(("v2", "7", RollOutState::Running)));
+    let current = memory.reconcile(at(0), &ended, &source, true);
+    assert_eq!(state(&current), Some(RollOutState::RolledBack));
+    let lost_outcomes: Vec<_> = memory.lost_outcomes(&source).collect();
+    assert_eq!(lost_outcomes.len(), 1);
     assert_eq!(
-        lost[0].0.changed_at, told.at,
+        lost_outcomes[0].0.changed_at, source.at,
         "the condition is of the new era"
     );
-    assert_eq!(lost[0].1, RollOutState::RolledBack);
-    // However long that takes.
-    let standing = memory.reconcile(at(60), &standing, &told, false);
-    assert_eq!(state(&standing), Some(RollOutState::RolledBack));
+    assert_eq!(lost_outcomes[0].1, RollOutState::RolledBack);
+    // The outcome holds however long the write takes.
+    let current = memory.reconcile(at(60), &current, &source, false);
+    assert_eq!(state(&current), Some(RollOutState::RolledBack));
     let written = orders(2, 410, Some(("v2", "7", RollOutState::RolledBack)));
-    let standing = memory.reconcile(at(61), &standing, &written, false);
-    assert_eq!(standing, written);
+    let current = memory.reconcile(at(61), &current, &written, false);
+    assert_eq!(current, written);
     assert_eq!(memory.lost_outcomes(&written).count(), 0);
 }
 
@@ -64,24 +64,24 @@
 fn an_order_that_the_source_lost_stands_until_it_is_given_again() {
     let mut memory = OrderMemory::default();
     let running = orders(1, 500, Some(("v2", "7", RollOutState::Running)));
-    let standing = memory.reconcile(at(0), &running, &orders(2, 400, None), true);
-    assert_eq!(state(&standing), Some(RollOutState::Running));
+    let current = memory.reconcile(at(0), &running, &orders(2, 400, None), true);
+    assert_eq!(state(&current), Some(RollOutState::Running));
     let again = orders(2, 420, Some(("v2", "9", RollOutState::Ordered)));
-    assert_eq!(memory.reconcile(at(2), &standing, &again, false), again);
+    assert_eq!(memory.reconcile(at(2), &current, &again, false), again);
 }
 
 #[test]
 fn an_ended_order_that_is_given_again_has_ended() {
     let mut memory = OrderMemory::default();
     let ended = orders(1, 500, Some(("v2", "7", RollOutState::RolledBack)));
-    let standing = memory.reconcile(at(0), &ended, &orders(2, 400, None), true);
+    let current = memory.reconcile(at(0), &ended, &orders(2, 400, None), true);
     let again = orders(2, 420, Some(("v2", "9", RollOutState::Ordered)));
-    let standing = memory.reconcile(at(2), &standing, &again, false);
-    assert_eq!(state(&standing), Some(RollOutState::RolledBack));
+    let current = memory.reconcile(at(2), &current, &again, false);
+    assert_eq!(state(&current), Some(RollOutState::RolledBack));
     assert_eq!(memory.lost_outcomes(&again).count(), 1);
-    // A later one for the same version is another try.
+    // A later order for the same version is a new roll-out.
     let later = orders(2, 900, Some(("v2", "11", RollOutState::Ordered)));
-    assert_eq!(memory.reconcile(at(40), &standing, &later, false), later);
+    assert_eq!(memory.reconcile(at(40), &current, &later, false), later);
 }
 
 #[test]
@@ -89,10 +89,10 @@
     let mut memory = OrderMemory::default();
     let running = orders(1, 500, Some(("v2", "7", RollOutState::Running)));
     let none = orders(2, 400, None);
-    let standing = memory.reconcile(at(0), &running, &none, true);
-    let standing = memory.reconcile(at(9), &standing, &none, false);
-    assert!(state(&standing).is_some());
-    assert_eq!(memory.reconcile(at(11), &standing, &none, false), none);
+    let current = memory.reconcile(at(0), &running, &none, true);
+    let current = memory.reconcile(at(9), &current, &none, false);
+    assert!(state(&current).is_some());
+    assert_eq!(memory.reconcile(at(11), &current, &none, false), none);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let mut memory = OrderMemory::default();
     let running = orders(1, 500, Some(("v3", "8", RollOutState::Running)));
     let older = orders(2, 400, Some(("v2", "7", RollOutState::Completed)));
-    let standing = memory.reconcile(at(0), &running, &older, true);
-    assert_eq!(standing.get(&service()).expect("one").target.as_str(), "v3");
-    assert_eq!(memory.reconcile(at(11), &standing, &older, false), older);
+    let current = memory.reconcile(at(0), &running, &older, true);
+    assert_eq!(current.get(&service()).expect("one").target.as_str(), "v3");
+    assert_eq!(memory.reconcile(at(11), &current, &older, false), older);
 }
--- a/crates/tansylead-route/tests/roll_out_ends.rs
+++ b/crates/tansylead-route/tests/roll_out_ends.rs
@@ -1,61 +1,62 @@
-//! How whole roll-outs end, in virtual time and with fixed seeds.
+//! Outcomes of whole roll-outs, simulated in virtual time with fixed seeds.
 
 mod roll_out_world;
 
 use proptest::prelude::*;
-use roll_out_world::{BOUNDS, Badness, Outcome, Service, Setting, Trouble, play};
+use roll_out_world::{BOUNDS, Defect, Outcome, Scenario, Service, SharedFault, simulate};
 use std::time::Duration;
 use tansylead_route::{Conclusion, ConclusionReason};
 
-/// Requests a second and the median time of an answer in milliseconds.
+/// Requests a second and the median latency in milliseconds.
 const SERVICES: [(f64, f64); 3] = [(36.0, 4.0), (63.0, 11.0), (99.0, 11.0)];
+/// Duration of the roll-outs.
 const SECONDS: u64 = 12;
-/// Roll-outs played for each service.
+/// Roll-outs simulated for each service.
 const SEEDS: u64 = 14;
-/// A service with few requests, and roll-outs of it that are played.
+/// A service with few requests, and the number of its roll-outs that are simulated.
 const FEW_REQUESTS: (f64, f64) = (21.0, 90.0);
 const SEEDS_OF_FEW_REQUESTS: u64 = 60;
 
-fn setting((rate, median): (f64, f64)) -> Setting {
-    Setting {
+fn scenario((rate, median_millis): (f64, f64)) -> Scenario {
+    Scenario {
         daemons: 65,
         duration: Duration::from_secs(SECONDS),
         service: Service {
             rate,
             routes: 2,
-            median,
+            median_millis,
             spread: 0.4,
             usual_failures: 0.01,
             starts_after: 1_000,
-            bad: Badness::default(),
-            trouble: None,
+            defect: Defect::default(),
+            shared_fault: None,
         },
         loss: 0.01,
         are_stages_pushed: true,
         judge_killed_at: None,
-        judge_cut: None,
-        source_away: None,
+        judge_partition: None,
+        source_outage: None,
     }
 }
 
-fn play_all(change: impl Fn(&mut Setting)) -> Vec<Outcome> {
+fn simulate_all(change: impl Fn(&mut Scenario)) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
     for service in SERVICES {
-        let mut setting = setting(service);
-        change(&mut setting);
-        outcomes.extend((0..SEEDS).map(|seed| play(&setting, seed)));
+        let mut scenario = scenario(service);
+        change(&mut scenario);
+        outcomes.extend((0..SEEDS).map(|seed| simulate(&scenario, seed)));
     }
     assert_within_bound(&outcomes);
     outcomes
 }
 
-/// A service with few requests, for a time in which its roll-out has some evidence.
-fn play_few_requests(seconds: u64, change: impl Fn(&mut Setting)) -> Vec<Outcome> {
-    let mut setting = setting(FEW_REQUESTS);
-    setting.duration = Duration::from_secs(seconds);
-    change(&mut setting);
+/// Simulates a service with few requests, with a duration in which its roll-out gets some answers.
+fn simulate_few_requests(seconds: u64, change: impl Fn(&mut Scenario)) -> Vec<Outcome> {
+    let mut scenario = scenario(FEW_REQUESTS);
+    scenario.duration = Duration::from_secs(seconds);
+    change(&mut scenario);
     let seeds = 0..SEEDS_OF_FEW_REQUESTS;
-    let outcomes: Vec<Outcome> = seeds.map(|seed| play(&setting, seed)).collect();
+    let outcomes: Vec<Outcome> = seeds.map(|seed| simulate(&scenario, seed)).collect();
     assert_within_bound(&outcomes);
     outcomes
 }
@@ -85,14 +86,14 @@
 
 #[test]
 fn good_versions_are_completed_in_time() {
-    let outcomes = play_all(|_| {});
+    let outcomes = simulate_all(|_| {});
     assert!(share_completed_in_time(&outcomes, SECONDS) >= 0.95);
 }
 
 #[test]
 fn good_versions_of_services_with_few_requests_are_completed_in_time() {
     for seconds in [12, 30] {
-        let outcomes = play_few_requests(seconds, |_| {});
+        let outcomes = simulate_few_requests(seconds, |_| {});
         let in_time = share_completed_in_time(&outcomes, seconds);
         let completed = share(&outcomes, Conclusion::Complete);
         assert!(
@@ -104,7 +105,7 @@
 
 #[test]
 fn versions_bad_in_three_answers_of_ten_are_rolled_back() {
-    let outcomes = play_all(|setting| setting.service.bad.failing = 0.3);
+    let outcomes = simulate_all(|scenario| scenario.service.defect.failing = 0.3);
     assert!(share(&outcomes, Conclusion::RollBack) >= 0.99);
     for outcome in outcomes {
         let reason = outcome.ended.map(|(_, reason, _)| reason);
@@ -115,34 +116,34 @@
 
 #[test]
 fn versions_that_turn_bad_late_are_rolled_back() {
-    let outcomes = play_all(|setting| {
-        setting.service.bad.failing = 0.6;
-        setting.service.bad.starts_at = 0.8;
+    let outcomes = simulate_all(|scenario| {
+        scenario.service.defect.failing = 0.6;
+        scenario.service.defect.starts_at = 0.8;
     });
     assert!(share(&outcomes, Conclusion::RollBack) >= 0.99);
 }
 
 #[test]
 fn versions_bad_only_under_load_are_rolled_back() {
-    let outcomes = play_all(|setting| {
-        setting.service.bad.failing = 0.6;
-        setting.service.bad.only_under_load = true;
+    let outcomes = simulate_all(|scenario| {
+        scenario.service.defect.failing = 0.6;
+        scenario.service.defect.only_under_load = true;
     });
     assert!(share(&outcomes, Conclusion::RollBack) >= 0.99);
 }
 
 #[test]
 fn versions_bad_on_one_route_are_rolled_back() {
-    let outcomes = play_all(|setting| {
-        setting.service.bad.failing = 0.6;
-        setting.service.bad.only_one_route = true;
+    let outcomes = simulate_all(|scenario| {
+        scenario.service.defect.failing = 0.6;
+        scenario.service.defect.only_one_route = true;
     });
     assert!(share(&outcomes, Conclusion::RollBack) >= 0.99);
 }
 
 #[test]
 fn versions_four_times_as_slow_are_rolled_back() {
-    let outcomes = play_all(|setting| setting.service.bad.slow = 4.0);
+    let outcomes = simulate_all(|scenario| scenario.service.defect.slow = 4.0);
     assert!(share(&outcomes, Conclusion::RollBack) >= 0.99);
     let is_slow = |outcome: &Outcome| outcome.ended.map(|(_, reason, _)| reason);
     let slow = outcomes.iter().map(is_slow);
@@ -154,8 +155,8 @@
 
 #[test]
 fn trouble_that_strikes_both_versions_does_not_condemn() {
-    let outcomes = play_all(|setting| {
-        setting.service.trouble = Some(Trouble {
+    let outcomes = simulate_all(|scenario| {
+        scenario.service.shared_fault = Some(SharedFault {
             from: 5_000,
             to: 8_000,
             old_failing: 0.3,
@@ -168,51 +169,51 @@
 
 #[test]
 fn a_lost_judge_is_replaced() {
-    let killed = |setting: &mut Setting| setting.judge_killed_at = Some(6_000);
-    let outcomes = play_all(killed);
+    let killed = |scenario: &mut Scenario| scenario.judge_killed_at = Some(6_000);
+    let outcomes = simulate_all(killed);
     assert!(share(&outcomes, Conclusion::Complete) >= 0.95);
-    let outcomes = play_all(|setting| {
-        killed(setting);
-        setting.service.bad.failing = 0.3;
-        setting.service.bad.starts_at = 0.4;
+    let outcomes = simulate_all(|scenario| {
+        killed(scenario);
+        scenario.service.defect.failing = 0.3;
+        scenario.service.defect.starts_at = 0.4;
     });
     assert!(share(&outcomes, Conclusion::RollBack) >= 0.99);
 }
 
 #[test]
 fn completion_waits_for_the_source() {
-    let back_at = SECONDS * 1_000 + 2_000;
-    let outcomes = play_all(|setting| setting.source_away = Some((8_000, back_at)));
+    let available_at = SECONDS * 1_000 + 2_000;
+    let outcomes = simulate_all(|scenario| scenario.source_outage = Some((8_000, available_at)));
     assert!(share(&outcomes, Conclusion::Complete) >= 0.9);
     let completed = outcomes
         .iter()
         .filter(|outcome| outcome.is(Conclusion::Complete));
     for outcome in completed {
-        assert!(outcome.ended.is_some_and(|(_, _, at)| at >= back_at));
+        assert!(outcome.ended.is_some_and(|(_, _, at)| at >= available_at));
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, and whoever judges in turn, sends stay within the bound at every moment.
+    /// Sends stay within the bound at every moment, whatever messages are lost and whichever judge leads.
     #[test]
     fn sends_never_exceed_the_bound(
         daemons in 1_usize..40,
         rate in 1.0_f64..200.0,
         loss in 0.0_f64..0.4,
-        cut_from in 500_u64..6_000,
-        cut_for in 200_u64..4_000,
+        partition_from in 500_u64..6_000,
+        partition_millis in 200_u64..4_000,
         failing in 0.0_f64..0.6,
         seed in any::<u64>(),
     ) {
-        let mut setting = setting((rate, 20.0));
-        setting.daemons = daemons;
-        setting.duration = Duration::from_secs(6);
-        setting.loss = loss;
-        setting.judge_cut = Some((cut_from, cut_from + cut_for));
-        setting.service.bad.failing = failing;
-        let outcome = play(&setting, seed);
+        let mut scenario = scenario((rate, 20.0));
+        scenario.daemons = daemons;
+        scenario.duration = Duration::from_secs(6);
+        scenario.loss = loss;
+        scenario.judge_partition = Some((partition_from, partition_from + partition_millis));
+        scenario.service.defect.failing = failing;
+        let outcome = simulate(&scenario, seed);
         prop_assert!(outcome.beyond_bound <= 0.0, "{:?}", outcome);
     }
 }
--- a/crates/tansylead-route/tests/roll_out_fleet/mod.rs
+++ b/crates/tansylead-route/tests/roll_out_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons of a roll-out without chance: each has the same requests, and sends what it is granted.
+//! Deterministic fleet of a roll-out: the daemons get requests in turn and send what they are granted.
 
 use std::time::Duration;
 use tansylead_route::{
@@ -8,14 +8,14 @@
 use tansylead_types::{Moment, NodeId};
 
 pub const DURATION: Duration = Duration::from_secs(12);
-/// In milliseconds.
+/// [`DURATION`] in milliseconds.
 pub const DEADLINE: u64 = 12_000;
 /// Time between looks, in milliseconds.
 const STEP: u64 = 250;
-/// Requests of all daemons between looks: a hundred a second.
+/// Requests of all daemons between two looks: a hundred a second.
 const REQUESTS: u64 = 25;
-/// Time of each answer of old leafs.
-pub const TAKES: Duration = Duration::from_millis(10);
+/// Latency of each answer of old leafs.
+pub const LATENCY: Duration = Duration::from_millis(10);
 
 pub fn at(millis: u64) -> Moment {
     Moment::from_millis(100_000 + millis)
@@ -25,7 +25,7 @@
     NodeId(([10, 0, 0, 1], 1_000 + index as u16).into())
 }
 
-/// The judge that is tested: the first daemon.
+/// The judge under test: the first daemon.
 pub fn judge() -> NodeId {
     node(0)
 }
@@ -63,21 +63,21 @@
     pub is_source_fresh: bool,
     pub answers_new: bool,
     pub fails_new: bool,
-    /// Time of each answer of the target version.
-    pub new_takes: Duration,
-    /// Some attempt runs on old leafs at all times.
+    /// Latency of each answer of the target version.
+    pub new_latency: Duration,
+    /// Every daemon always has an attempt in progress on old leafs.
     pub runs_on_old: bool,
     /// A daemon that does not report.
     pub silent: Option<usize>,
-    /// Only so many daemons, the first ones, can reach this judge.
+    /// Number of daemons, from the first on, that can reach the judge.
     pub reachable: usize,
-    /// Daemons that the membership lists: the first ones.
+    /// Number of daemons, from the first on, that the membership lists.
     pub listed: usize,
-    /// The target version gets requests although this judge grants none.
+    /// The target version also gets requests that this judge has not granted.
     pub sends_anyway: bool,
-    /// Reported in place of the stage granted.
+    /// Stage that is reported in place of the granted one.
     pub reported_stage: Option<Stage>,
-    /// How long daemons have known of the order before the judge did, in milliseconds.
+    /// How long before the judge the daemons learned of the order, in milliseconds.
     pub known_before: u64,
 }
 
@@ -111,7 +111,7 @@
             is_source_fresh: true,
             answers_new: true,
             fails_new: false,
-            new_takes: TAKES,
+            new_latency: LATENCY,
             runs_on_old: false,
             silent: None,
             reachable: daemons,
@@ -124,15 +124,15 @@
 
     pub fn set_bounds(&mut self, share: f64, slack: f64) {
         self.bounds = ExposureBounds { share, slack };
-        self.renew();
+        self.restart_trial();
     }
 
     pub fn set_state(&mut self, state: RollOutState) {
         self.order.state = state;
-        self.renew();
+        self.restart_trial();
     }
 
-    fn renew(&mut self) {
+    fn restart_trial(&mut self) {
         self.trial = RollOutTrial::new(self.order.clone(), self.bounds, judge(), self.now());
     }
 
@@ -166,19 +166,19 @@
         self.reports[daemon].evidence.new_sends
     }
 
-    /// Lets time pass in which nothing happens.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the time without requests, reports or looks.
+    pub fn skip(&mut self, millis: u64) {
         self.millis += millis;
     }
 
-    pub fn play_until(&mut self, millis: u64) {
+    pub fn run_until(&mut self, millis: u64) {
         while self.millis < millis {
-            self.play(STEP);
+            self.run(STEP);
         }
     }
 
-    /// Lets time pass in which requests come, daemons report and the judge looks.
-    pub fn play(&mut self, millis: u64) {
+    /// Advances the time with requests, reports, looks and grants.
+    pub fn run(&mut self, millis: u64) {
         for _ in 0..millis / STEP {
             self.advance(STEP);
             self.report_all();
@@ -244,7 +244,7 @@
         reports.map(|report| report.evidence.requests).sum()
     }
 
-    /// Sends made, and those that daemons may make under what they were granted last.
+    /// Sends made, and those that the last grants still allow.
     pub fn granted(&self) -> u64 {
         let daemons = self.reports.iter().zip(&self.grants);
         let most = daemons.map(|(report, grant)| {
@@ -254,7 +254,7 @@
         most.sum()
     }
 
-    /// Lets time pass in which requests come.
+    /// Advances the time with requests only.
     pub fn advance(&mut self, millis: u64) {
         self.millis += millis;
         let daemons = self.reports.len() as u64;
@@ -279,7 +279,7 @@
         let is_sent_anyway = self.sends_anyway && evidence.requests.is_multiple_of(10);
         if !is_granted && !is_sent_anyway {
             route.old.good += 1;
-            route.old.latencies.add(TAKES);
+            route.old.latencies.add(LATENCY);
             return;
         }
         evidence.new_sends += 1;
@@ -290,7 +290,7 @@
             route.new.failed += 1;
         } else {
             route.new.good += 1;
-            route.new.latencies.add(self.new_takes);
+            route.new.latencies.add(self.new_latency);
         }
     }
 }
--- a/crates/tansylead-route/tests/roll_out_fleet/slow.rs
+++ b/crates/tansylead-route/tests/roll_out_fleet/slow.rs
@@ -1,12 +1,12 @@
-//! How much slower than the old leafs, all of whose answers take the same time, a target version may be.
+//! How much slower than the old leafs a target version may be if all answers of the old ones have the same latency.
 
-use crate::roll_out_fleet::{DEADLINE, Fleet, TAKES};
+use crate::roll_out_fleet::{DEADLINE, Fleet, LATENCY};
 use tansylead_route::{Conclusion, ConclusionReason};
 
 fn conclusion_of_slower(factor: f64) -> Option<(Conclusion, ConclusionReason)> {
     let mut fleet = Fleet::new(3);
-    fleet.new_takes = TAKES.mul_f64(factor);
-    fleet.play_until(DEADLINE);
+    fleet.new_latency = LATENCY.mul_f64(factor);
+    fleet.run_until(DEADLINE);
     fleet.verdict().write
 }
 
--- a/crates/tansylead-route/tests/roll_out_orders.rs
+++ b/crates/tansylead-route/tests/roll_out_orders.rs
@@ -1,4 +1,4 @@
-//! The set of orders as a replica: whole, in the revision order of the source.
+//! Replication of the set of orders: whole, and in the order of the source's revisions.
 
 use std::time::Duration;
 use tansylead_route::{OrderId, Revision, RollOut, RollOutState, RollOuts, RollOutsMark};
--- a/crates/tansylead-route/tests/roll_out_state_write.rs
+++ b/crates/tansylead-route/tests/roll_out_state_write.rs
@@ -1,4 +1,4 @@
-//! The state of a roll-out comes into the source, whatever becomes of the answers.
+//! The state of a roll-out is written to the source, whichever answers are lost or late.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -9,8 +9,8 @@
 };
 use tansylead_types::{Moment, ServiceName, SoftwareVersion};
 
-/// Without jitter to either side.
-const MIDDLE: f64 = 0.5;
+/// A random number that gives a jitter factor of one.
+const NO_JITTER: f64 = 0.5;
 
 fn order(made: &str, state: RollOutState, changed_at: u64) -> RollOut {
     let service = ServiceName::new("service").expect("valid name");
@@ -38,8 +38,8 @@
     Moment::from_millis(1_000)
 }
 
-/// The wait before the next call, zero if there is none.
-fn wait(write: &StateWrite, now: Moment) -> Duration {
+/// The backoff before the next call, zero if there is none.
+fn backoff(write: &StateWrite, now: Moment) -> Duration {
     match write.next(now) {
         WriteStep::WaitUntil(moment) => moment.since(now),
         _ => Duration::ZERO,
@@ -56,7 +56,11 @@
             roll_out: running()
         }
     );
-    write.on_write(now(), Ok(WriteEnd::Written(Revision::first_era(9))), MIDDLE);
+    write.on_write(
+        now(),
+        Ok(WriteEnd::Written(Revision::first_era(9))),
+        NO_JITTER,
+    );
     let end = StateWriteEnd::Stands(Revision::first_era(9));
     assert_eq!(write.next(now()), WriteStep::Ended(end));
 }
@@ -81,14 +85,14 @@
 #[test]
 fn a_lost_answer_is_read_back_before_anything_else_is_written() {
     let mut write = completion();
-    write.on_write(now(), Err(WriteFailure::Unknown), MIDDLE);
+    write.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
     assert_eq!(write.next(now()), WriteStep::Read);
-    write.on_read(now(), Err(WriteFailure::Refused), MIDDLE);
-    let waited = now() + wait(&write, now());
+    write.on_read(now(), Err(WriteFailure::Refused), NO_JITTER);
+    let waited = now() + backoff(&write, now());
     assert!(waited > now());
     assert_eq!(write.next(waited), WriteStep::Read, "still unknown");
     let done = order("first", RollOutState::Completed, 8);
-    write.on_read(waited, Ok(Some(&done)), MIDDLE);
+    write.on_read(waited, Ok(Some(&done)), NO_JITTER);
     let end = StateWriteEnd::Stands(Revision::first_era(8));
     assert_eq!(write.next(waited), WriteStep::Ended(end));
 }
@@ -96,9 +100,9 @@
 #[test]
 fn a_lost_write_that_was_not_done_is_written_again_after_a_wait() {
     let mut write = completion();
-    write.on_write(now(), Err(WriteFailure::Unknown), MIDDLE);
-    write.on_read(now(), Ok(Some(&running())), MIDDLE);
-    let waited = now() + wait(&write, now());
+    write.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
+    write.on_read(now(), Ok(Some(&running())), NO_JITTER);
+    let waited = now() + backoff(&write, now());
     assert!(waited > now());
     let again = WriteStep::Write {
         roll_out: running(),
@@ -109,12 +113,12 @@
 #[test]
 fn a_write_that_is_done_seconds_later_ends_in_a_conflict_that_shows_it() {
     let mut write = completion();
-    write.on_write(now(), Err(WriteFailure::Unknown), MIDDLE);
-    write.on_read(now(), Ok(Some(&running())), MIDDLE);
-    // The first write is done now, and the second finds that its condition no longer holds.
+    write.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
+    write.on_read(now(), Ok(Some(&running())), NO_JITTER);
+    // The first write is applied only now, so that the condition of the second one no longer holds.
     let done = order("first", RollOutState::Completed, 8);
     let conflict = WriteEnd::Conflict(Some(Box::new(done)));
-    write.on_write(now(), Ok(conflict), MIDDLE);
+    write.on_write(now(), Ok(conflict), NO_JITTER);
     let end = StateWriteEnd::Stands(Revision::first_era(8));
     assert_eq!(write.next(now()), WriteStep::Ended(end));
 }
@@ -124,7 +128,7 @@
     let ordered = order("first", RollOutState::Ordered, 5);
     let mut write = StateWrite::new(ordered, RollOutState::RolledBack);
     let conflict = WriteEnd::Conflict(Some(Box::new(running())));
-    write.on_write(now(), Ok(conflict), MIDDLE);
+    write.on_write(now(), Ok(conflict), NO_JITTER);
     let again = WriteStep::Write {
         roll_out: running(),
     };
@@ -144,11 +148,15 @@
         (None, StateWriteEnd::Gone),
     ] {
         let mut by_read = completion();
-        by_read.on_write(now(), Err(WriteFailure::Unknown), MIDDLE);
-        by_read.on_read(now(), Ok(found.as_ref()), MIDDLE);
+        by_read.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
+        by_read.on_read(now(), Ok(found.as_ref()), NO_JITTER);
         assert_eq!(by_read.next(now()), WriteStep::Ended(end));
         let mut by_write = completion();
-        by_write.on_write(now(), Ok(WriteEnd::Conflict(found.map(Box::new))), MIDDLE);
+        by_write.on_write(
+            now(),
+            Ok(WriteEnd::Conflict(found.map(Box::new))),
+            NO_JITTER,
+        );
         assert_eq!(by_write.next(now()), WriteStep::Ended(end));
     }
 }
@@ -156,28 +164,28 @@
 #[test]
 fn refusals_are_tried_again_with_growing_bounded_jittered_waits() {
     let mut write = completion();
-    let mut waits = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..8 {
-        write.on_write(now(), Err(WriteFailure::Refused), MIDDLE);
-        waits.push(wait(&write, now()));
+        write.on_write(now(), Err(WriteFailure::Refused), NO_JITTER);
+        backoffs.push(backoff(&write, now()));
     }
-    assert!(waits.is_sorted());
-    assert!(waits[0] > Duration::ZERO && waits[0] < waits[1]);
-    assert_eq!(waits[6], waits[7]);
+    assert!(backoffs.is_sorted());
+    assert!(backoffs[0] > Duration::ZERO && backoffs[0] < backoffs[1]);
+    assert_eq!(backoffs[6], backoffs[7]);
     let spread: Vec<Duration> = [0.0, 1.0]
         .map(|random| {
             let mut write = completion();
             write.on_write(now(), Err(WriteFailure::Refused), random);
-            wait(&write, now())
+            backoff(&write, now())
         })
         .to_vec();
-    assert!(spread[0] < waits[0] && waits[0] < spread[1]);
+    assert!(spread[0] < backoffs[0] && backoffs[0] < spread[1]);
 }
 
 #[test]
 fn news_ends_it_but_old_news_does_not() {
     let mut write = completion();
-    write.on_write(now(), Err(WriteFailure::Unknown), MIDDLE);
+    write.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
     write.on_news(&order("first", RollOutState::Completed, 6));
     assert_eq!(write.next(now()), WriteStep::Read);
     write.on_news(&order("first", RollOutState::Completed, 8));
@@ -185,24 +193,24 @@
     assert_eq!(write.next(now()), WriteStep::Ended(end));
 }
 
-/// A source that loses, refuses and delays.
+/// A source that loses answers, refuses calls and delays writes.
 #[derive(Debug)]
 struct Source {
-    stands: RollOut,
+    current: RollOut,
     late: Vec<(Revision, RollOutState)>,
 }
 
 impl Source {
     fn write(&mut self, condition: Revision, state: RollOutState) -> WriteEnd {
-        if self.stands.changed_at != condition {
-            return WriteEnd::Conflict(Some(Box::new(self.stands.clone())));
+        if self.current.changed_at != condition {
+            return WriteEnd::Conflict(Some(Box::new(self.current.clone())));
         }
-        self.stands.state = state;
-        self.stands.changed_at.number += 1;
-        WriteEnd::Written(self.stands.changed_at)
+        self.current.state = state;
+        self.current.changed_at.number += 1;
+        WriteEnd::Written(self.current.changed_at)
     }
 
-    fn do_late_writes(&mut self) {
+    fn apply_late_writes(&mut self) {
         for (condition, state) in std::mem::take(&mut self.late) {
             self.write(condition, state);
         }
@@ -210,36 +218,36 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum CallOutcome {
     Answered,
     Refused,
     Lost,
     Late,
-    LateWritesAreDone,
+    LateWritesApplied,
 }
 
-fn fates() -> impl Strategy<Value = Vec<Fate>> {
-    let fate = prop_oneof![
-        Just(Fate::Answered),
-        Just(Fate::Refused),
-        Just(Fate::Lost),
-        Just(Fate::Late),
-        Just(Fate::LateWritesAreDone),
+fn call_outcomes() -> impl Strategy<Value = Vec<CallOutcome>> {
+    let call_outcome = prop_oneof![
+        Just(CallOutcome::Answered),
+        Just(CallOutcome::Refused),
+        Just(CallOutcome::Lost),
+        Just(CallOutcome::Late),
+        Just(CallOutcome::LateWritesApplied),
     ];
-    proptest::collection::vec(fate, 0..40)
+    proptest::collection::vec(call_outcome, 0..40)
 }
 
-fn step(write: &mut StateWrite, source: &mut Source, now: Moment, fate: Fate) {
-    if matches!(fate, Fate::LateWritesAreDone) {
-        return source.do_late_writes();
+fn step(write: &mut StateWrite, source: &mut Source, now: Moment, call_outcome: CallOutcome) {
+    if matches!(call_outcome, CallOutcome::LateWritesApplied) {
+        return source.apply_late_writes();
     }
     match write.next(now) {
         WriteStep::Write { roll_out } => {
             let condition = roll_out.changed_at;
-            let result = match fate {
-                Fate::Refused => Err(WriteFailure::Refused),
-                Fate::Answered => Ok(source.write(condition, write.wanted())),
-                Fate::Lost => {
+            let result = match call_outcome {
+                CallOutcome::Refused => Err(WriteFailure::Refused),
+                CallOutcome::Answered => Ok(source.write(condition, write.wanted())),
+                CallOutcome::Lost => {
                     source.write(condition, write.wanted());
                     Err(WriteFailure::Unknown)
                 }
@@ -248,15 +256,15 @@
                     Err(WriteFailure::Unknown)
                 }
             };
-            write.on_write(now, result, MIDDLE);
+            write.on_write(now, result, NO_JITTER);
         }
         WriteStep::Read => {
-            let result = match fate {
-                Fate::Answered => Ok(Some(&source.stands)),
-                Fate::Refused => Err(WriteFailure::Refused),
+            let result = match call_outcome {
+                CallOutcome::Answered => Ok(Some(&source.current)),
+                CallOutcome::Refused => Err(WriteFailure::Refused),
                 _ => Err(WriteFailure::Unknown),
             };
-            write.on_read(now, result, MIDDLE);
+            write.on_read(now, result, NO_JITTER);
         }
         WriteStep::WaitUntil(_) | WriteStep::Ended(_) => {}
     }
@@ -270,35 +278,35 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two judges that disagree: one end stands, is never changed again, and both learn of it.
+    /// Of two judges that disagree, one writes its outcome, which never changes again, and both learn of it.
     #[test]
     fn whatever_is_lost_or_late_one_end_stands_and_each_writer_learns_it(
         turns in proptest::collection::vec(any::<bool>(), 60),
-        fates in fates(),
+        call_outcomes in call_outcomes(),
     ) {
-        let mut source = Source { stands: running(), late: Vec::new() };
+        let mut source = Source { current: running(), late: Vec::new() };
         let mut writers = [
             completion(),
             StateWrite::new(running(), RollOutState::RolledBack),
         ];
         let mut ended_as = None;
         let mut now = now();
-        let calm = std::iter::repeat_n(Fate::Answered, 20);
-        for (turn, fate) in turns.iter().zip(fates.into_iter().chain(calm)) {
+        let undisturbed = std::iter::repeat_n(CallOutcome::Answered, 20);
+        for (turn, call_outcome) in turns.iter().zip(call_outcomes.into_iter().chain(undisturbed)) {
             now = now + Duration::from_secs(2);
-            step(&mut writers[usize::from(*turn)], &mut source, now, fate);
+            step(&mut writers[usize::from(*turn)], &mut source, now, call_outcome);
             if let Some(state) = ended_as {
-                prop_assert_eq!(source.stands.state, state, "an ended roll-out is left alone");
-            } else if source.stands.state.is_final() {
-                ended_as = Some(source.stands.state);
+                prop_assert_eq!(source.current.state, state, "an ended roll-out is left alone");
+            } else if source.current.state.is_final() {
+                ended_as = Some(source.current.state);
             }
         }
         for write in &mut writers {
             for _ in 0..4 {
                 now = now + Duration::from_secs(2);
-                step(write, &mut source, now, Fate::Answered);
+                step(write, &mut source, now, CallOutcome::Answered);
             }
-            let is_wanted = source.stands.state == write.wanted();
+            let is_wanted = source.current.state == write.wanted();
             let end = match write.next(now) {
                 WriteStep::Ended(end) => end,
                 other => return Err(TestCaseError::fail(format!("{other:?}"))),
--- a/crates/tansylead-route/tests/roll_out_trial.rs
+++ b/crates/tansylead-route/tests/roll_out_trial.rs
@@ -1,4 +1,4 @@
-//! One judge of a roll-out: what it does with reports, step by step.
+//! One judge of a roll-out, and how it responds to reports.
 
 mod roll_out_fleet;
 #[path = "roll_out_fleet/slow.rs"]
@@ -14,14 +14,14 @@
     let mut fleet = Fleet::new(5);
     fleet.follow(Some(node(9)));
     for _ in 0..20 {
-        fleet.play(250);
+        fleet.run(250);
         for daemon in 0..5 {
             let sent = fleet.sent(daemon);
             assert_eq!(fleet.trial.grant(fleet.now(), node(daemon)).limit, sent);
         }
     }
     fleet.follow(Some(judge()));
-    fleet.play(250);
+    fleet.run(250);
     let grants = (0..5).map(|daemon| fleet.trial.grant(fleet.now(), node(daemon)).limit);
     assert!(grants.into_iter().sum::<u64>() > 0);
 }
@@ -29,7 +29,7 @@
 #[test]
 fn a_daemon_that_never_reported_gets_nothing() {
     let mut fleet = Fleet::new(3);
-    fleet.play(500);
+    fleet.run(500);
     let grant = fleet.trial.grant(fleet.now(), node(77));
     assert_eq!((grant.limit, grant.valid), (0, Duration::ZERO));
 }
@@ -37,8 +37,8 @@
 #[test]
 fn after_a_freeze_nothing_is_granted_until_reports_come_anew() {
     let mut fleet = Fleet::new(3);
-    fleet.play_until(4_000);
-    fleet.pass(5_000);
+    fleet.run_until(4_000);
+    fleet.skip(5_000);
     let sent = fleet.sent(0);
     assert_eq!(fleet.trial.grant(fleet.now(), node(0)).limit, sent);
     fleet.look();
@@ -49,9 +49,9 @@
 fn without_evidence_it_goes_back_in_time_to_stand_by_the_deadline_and_not_before() {
     let mut fleet = Fleet::new(3);
     fleet.answers_new = false;
-    fleet.play_until(DEADLINE - 1_250);
+    fleet.run_until(DEADLINE - 1_250);
     assert_eq!(fleet.verdict().stage, Stage::Trial);
-    fleet.play(250);
+    fleet.run(250);
     let expected = Some((Conclusion::RollBack, ConclusionReason::NoEvidence));
     assert_eq!(fleet.verdict().write, expected);
     assert_eq!(fleet.verdict().stage, Stage::RollBack);
@@ -60,12 +60,12 @@
 #[test]
 fn a_good_version_is_completed_and_stays_so() {
     let mut fleet = Fleet::new(3);
-    fleet.play_until(DEADLINE);
+    fleet.run_until(DEADLINE);
     let expected = Some((Conclusion::Complete, ConclusionReason::AsGood));
     assert_eq!(fleet.verdict().write, expected);
     fleet.fails_new = true;
     for _ in 0..40 {
-        fleet.play(250);
+        fleet.run(250);
         assert_eq!(fleet.verdict().stage, Stage::Commit);
         assert_eq!(fleet.verdict().write, expected);
     }
@@ -75,12 +75,12 @@
 fn back_is_final() {
     let mut fleet = Fleet::new(3);
     fleet.fails_new = true;
-    fleet.play_until(8_000);
+    fleet.run_until(8_000);
     let expected = Some((Conclusion::RollBack, ConclusionReason::Failing));
     assert_eq!(fleet.verdict().write, expected);
     fleet.fails_new = false;
     for _ in 0..60 {
-        fleet.play(250);
+        fleet.run(250);
         assert_eq!(fleet.verdict().stage, Stage::RollBack);
         assert_eq!(fleet.verdict().write, expected);
     }
@@ -91,11 +91,11 @@
     let mut fleet = Fleet::new(3);
     fleet.fails_new = true;
     fleet.is_source_fresh = false;
-    fleet.play_until(20_000);
+    fleet.run_until(20_000);
     assert_eq!(fleet.verdict().stage, Stage::RollBack);
     assert_eq!(fleet.verdict().write, None);
     fleet.is_source_fresh = true;
-    fleet.play(250);
+    fleet.run(250);
     assert!(fleet.verdict().write.is_some());
 }
 
@@ -103,16 +103,16 @@
 fn a_shift_goes_back_to_trial_when_the_source_goes_away() {
     let mut fleet = Fleet::new(3);
     fleet.runs_on_old = true;
-    fleet.play_until(10_000);
+    fleet.run_until(10_000);
     assert_eq!(fleet.verdict().stage, Stage::Shift);
     fleet.is_source_fresh = false;
-    fleet.play(250);
+    fleet.run(250);
     assert_eq!(fleet.verdict().stage, Stage::Trial);
-    fleet.play_until(DEADLINE + 3_000);
+    fleet.run_until(DEADLINE + 3_000);
     assert_eq!(fleet.verdict().stage, Stage::Trial);
     fleet.is_source_fresh = true;
     fleet.runs_on_old = false;
-    fleet.play(2_000);
+    fleet.run(2_000);
     assert_eq!(fleet.verdict().stage, Stage::Commit);
 }
 
@@ -120,24 +120,24 @@
 fn a_shift_waits_for_attempts_on_old_leafs_but_not_for_the_silent() {
     let mut fleet = Fleet::new(4);
     fleet.runs_on_old = true;
-    fleet.play_until(11_500);
+    fleet.run_until(11_500);
     assert_eq!(fleet.verdict().stage, Stage::Shift);
     fleet.runs_on_old = false;
     fleet.silent = Some(3);
-    fleet.play(1_000);
+    fleet.run(1_000);
     assert_eq!(fleet.verdict().stage, Stage::Shift);
-    fleet.play(1_750);
+    fleet.run(1_750);
     assert_eq!(fleet.verdict().stage, Stage::Commit);
 }
 
-/// A fleet at the moment at which its judge commits, with attempts that were sent to old leafs meanwhile.
+/// A fleet whose judge has just committed, with attempts that have been sent to old leafs since.
 fn committed_with_late_attempts() -> Fleet {
     let mut fleet = Fleet::new(3);
     while fleet.verdict().stage != Stage::Commit {
-        fleet.play(250);
+        fleet.run(250);
     }
     fleet.runs_on_old = true;
-    fleet.play(250);
+    fleet.run(250);
     fleet
 }
 
@@ -146,7 +146,7 @@
     let mut fleet = committed_with_late_attempts();
     assert_eq!(fleet.verdict().write, None);
     fleet.runs_on_old = false;
-    fleet.play(500);
+    fleet.run(500);
     let completed = Some((Conclusion::Complete, ConclusionReason::AsGood));
     assert_eq!(fleet.verdict().write, completed);
 }
@@ -154,7 +154,7 @@
 #[test]
 fn a_completion_does_not_wait_for_ever_for_attempts_at_old_leafs() {
     let mut fleet = committed_with_late_attempts();
-    fleet.play(1_250);
+    fleet.run(1_250);
     let completed = Some((Conclusion::Complete, ConclusionReason::AsGood));
     assert_eq!(fleet.verdict().write, completed);
 }
@@ -163,9 +163,9 @@
 fn without_room_for_the_shift_it_goes_back_in_time_to_stand_by_the_deadline() {
     let mut fleet = Fleet::new(3);
     fleet.set_bounds(0.02, 12.0);
-    fleet.play_until(DEADLINE - 1_250);
+    fleet.run_until(DEADLINE - 1_250);
     assert_eq!(fleet.verdict().stage, Stage::Trial);
-    fleet.play(250);
+    fleet.run(250);
     let expected = Some((Conclusion::RollBack, ConclusionReason::NoRoom));
     assert_eq!(fleet.verdict().write, expected);
 }
@@ -175,9 +175,9 @@
     let mut fleet = Fleet::new(3);
     fleet.answers_new = false;
     fleet.known_before = 9_000;
-    fleet.play_until(1_750);
+    fleet.run_until(1_750);
     assert_eq!(fleet.verdict().stage, Stage::Trial);
-    fleet.play(250);
+    fleet.run(250);
     assert_eq!(fleet.verdict().stage, Stage::RollBack);
 }
 
@@ -188,13 +188,13 @@
         let mut fleet = Fleet::new(3);
         fleet.rank = 2;
         fleet.follow(Some(node(9)));
-        fleet.play_until(1_000);
+        fleet.run_until(1_000);
         fleet.reported_stage = Some(stage);
-        fleet.play(250);
+        fleet.run(250);
         assert_eq!(fleet.verdict().stage, stage);
-        fleet.play(2_500);
+        fleet.run(2_500);
         assert_eq!(fleet.verdict().write, None);
-        fleet.play(750);
+        fleet.run(750);
         let expected = Some((conclusion, ConclusionReason::TakenOver));
         assert_eq!(fleet.verdict().write, expected);
     }
@@ -203,15 +203,15 @@
 #[test]
 fn a_judge_that_does_not_lead_concludes_nothing_but_keeps_its_judgement() {
     let mut fleet = Fleet::new(3);
-    fleet.play_until(2_000);
+    fleet.run_until(2_000);
     fleet.fails_new = true;
     fleet.follow(Some(node(9)));
     fleet.sends_anyway = true;
-    fleet.play_until(5_000);
+    fleet.run_until(5_000);
     assert_eq!(fleet.verdict().write, None);
     assert_eq!(fleet.verdict().stage, Stage::Trial);
     fleet.follow(Some(judge()));
-    fleet.play(250);
+    fleet.run(250);
     let expected = Some((Conclusion::RollBack, ConclusionReason::Failing));
     assert_eq!(fleet.verdict().write, expected);
 }
@@ -219,11 +219,11 @@
 #[test]
 fn few_answers_do_not_condemn() {
     let mut fleet = Fleet::new(3);
-    fleet.play_until(2_000);
+    fleet.run_until(2_000);
     fleet.fails_new = true;
-    fleet.play(250);
+    fleet.run(250);
     fleet.fails_new = false;
-    fleet.play(250);
+    fleet.run(250);
     assert_eq!(fleet.verdict().stage, Stage::Trial);
 }
 
@@ -234,10 +234,10 @@
         fleet.set_bounds(0.01, 200.0);
         fleet.set_state(RollOutState::Running);
         fleet.known_before = known_before;
-        fleet.play_until(4_000);
+        fleet.run_until(4_000);
         fleet.counts().new_sends
     };
-    // By the share alone, 12 s do not pay for a shift.
+    // Without the slack, the share of 12 s of requests does not cover a shift.
     assert_eq!(granted(0), 0);
     assert!(granted(2_000) > 0);
 }
@@ -245,10 +245,10 @@
 #[test]
 fn a_restart_keeps_the_totals_of_the_earlier_life() {
     let mut fleet = Fleet::new(2);
-    fleet.play_until(6_000);
+    fleet.run_until(6_000);
     let before = fleet.counts();
     fleet.restart(0);
-    fleet.play(500);
+    fleet.run(500);
     let after = fleet.counts();
     assert!(after.requests > before.requests);
     assert!(after.new_sends >= before.new_sends);
@@ -258,10 +258,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 32, ..ProptestConfig::default() })]
 
-    /// Reports that come twice or late change nothing: not the verdict, nor any grant.
+    /// Duplicate and late reports change neither the verdict nor any grant.
     #[test]
     fn doubled_and_late_reports_change_nothing(
-        again in proptest::collection::vec((0_usize..60, 0_usize..200), 0..120),
+        duplicates in proptest::collection::vec((0_usize..60, 0_usize..200), 0..120),
         fails in any::<bool>(),
     ) {
         let mut fleet = Fleet::new(4);
@@ -274,7 +274,7 @@
                 other.on_report(fleet.now(), report);
             }
             reports.extend(sent);
-            let due = again.iter().filter(|(when, _)| *when == step);
+            let due = duplicates.iter().filter(|(when, _)| *when == step);
             for (_, which) in due {
                 other.on_report(fleet.now(), &reports[which % reports.len()]);
             }
@@ -288,13 +288,13 @@
         }
     }
 
-    /// What daemons may send under the grants they hold stays within the part of the bound that is used,
-    /// also between looks, in whatever order daemons report.
+    /// The sends allowed by all grants together stay within the part of the bound that is handed out, also between
+    /// looks, in whatever order daemons report.
     #[test]
     fn grants_stay_within_the_allowance(turns in proptest::collection::vec(0_usize..5, 400)) {
         let mut fleet = Fleet::new(5);
         for (step, daemon) in turns.iter().enumerate() {
-            fleet.pass(50);
+            fleet.skip(50);
             for _ in 0..5 {
                 fleet.request(*daemon);
             }
@@ -308,7 +308,7 @@
         }
     }
 
-    /// In one look, reports may come in any order.
+    /// The order of the reports between two looks does not matter.
     #[test]
     fn the_order_of_daemons_does_not_matter(order in Just((0..6).collect::<Vec<usize>>()).prop_shuffle()) {
         let mut fleet = Fleet::new(6);
--- a/crates/tansylead-route/tests/roll_out_world/daemon.rs
+++ b/crates/tansylead-route/tests/roll_out_world/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon that keeps to its grants and reports.
+//! Simulated daemon that sends within its grants and reports.
 
 use super::service::{Attempt, Service};
 use super::{at, node};
@@ -6,10 +6,11 @@
 use std::time::Duration;
 use tansylead_route::{Grant, RollOut, RollOutEvidence, RollOutReport, RouteEvidence, Stage};
 
-/// Periods of reports in milliseconds: while requests come or in the shift, and otherwise.
+/// Report period in milliseconds while there are requests, or in the stages `Shift` and `Commit`.
 const BUSY_PERIOD: u64 = 200;
+/// Report period in milliseconds otherwise.
 const IDLE_PERIOD: u64 = 1_000;
-/// A judge that leaves a report unanswered for longer is not followed.
+/// A judge that has not answered a report for longer than this, in milliseconds, is not followed.
 const FOLLOWED_FOR: u64 = 600;
 
 struct Running {
@@ -17,20 +18,20 @@
     is_new: bool,
     is_good: bool,
     route: u32,
-    takes: Duration,
+    latency: Duration,
 }
 
-/// The newest word of one judge.
+/// The last grant of one judge.
 #[derive(Clone, Copy)]
-struct Heard {
+struct ReceivedGrant {
     at: u64,
     grant: Grant,
 }
 
 pub struct Daemon {
     report: RollOutReport,
-    judges: [Option<Heard>; super::JUDGES],
-    /// When the first report was sent that each judge has not answered.
+    judges: [Option<ReceivedGrant>; super::JUDGES],
+    /// When the first report that a judge has not answered was sent, for each judge.
     unanswered: [Option<u64>; super::JUDGES],
     running: Vec<Running>,
     reports_at: u64,
@@ -68,29 +69,23 @@
         self.report.evidence.requests
     }
 
-    fn followed(&self, now: u64) -> Option<(usize, Heard)> {
+    fn followed(&self, now: u64) -> Option<(usize, ReceivedGrant)> {
         let judges = self.judges.iter().enumerate();
-        let mut heard = judges.filter_map(|(judge, heard)| Some((judge, (*heard)?)));
-        heard.find(|(judge, _)| {
+        let mut received = judges.filter_map(|(judge, received)| Some((judge, (*received)?)));
+        received.find(|(judge, _)| {
             self.unanswered[*judge].is_none_or(|sent| now - sent <= FOLLOWED_FOR)
         })
     }
 
-    /// The judge followed, its word if it is valid.
+    /// The stage and the limit granted by the judge that is followed.
     fn stage(&self, now: u64) -> Option<(Stage, u64)> {
-        let (_, heard) = self.followed(now)?;
-        let is_valid = at(now).since(at(heard.at)) < heard.grant.valid;
-        let limit = if is_valid { heard.grant.limit } else { 0 };
-        Some((heard.grant.stage, limit))
+        let (_, received) = self.followed(now)?;
+        let is_valid = at(now).since(at(received.at)) < received.grant.valid;
+        let limit = if is_valid { received.grant.limit } else { 0 };
+        Some((received.grant.stage, limit))
     }
 
-    pub fn request(
-        &mut self,
-        now: u64,
-        service: &Service,
-        duration: Duration,
-        chance: &mut impl Rng,
-    ) {
+    pub fn request(&mut self, now: u64, service: &Service, duration: Duration, rng: &mut impl Rng) {
         let is_started = now >= service.starts_after;
         let (is_new, stage) = match self.stage(now) {
             Some((Stage::Commit, _)) => (true, Some(Stage::Commit)),
@@ -102,7 +97,7 @@
         };
         let attempt = Attempt {
             is_new,
-            route: chance.random_range(0..service.routes),
+            route: rng.random_range(0..service.routes),
             is_loaded: matches!(stage, Some(Stage::Shift | Stage::Commit)),
             duration,
         };
@@ -112,13 +107,13 @@
             self.report.evidence.new_sends += 1;
             self.sends_on_trial += u64::from(stage != Some(Stage::Commit));
         }
-        let answer = service.answer(now, &attempt, chance);
+        let answer = service.answer(now, &attempt, rng);
         self.running.push(Running {
-            ends: now + (answer.takes.as_millis() as u64).max(1),
+            ends: now + (answer.latency.as_millis() as u64).max(1),
             is_new,
             is_good: answer.is_good,
             route: attempt.route,
-            takes: answer.takes,
+            latency: answer.latency,
         });
     }
 
@@ -139,7 +134,7 @@
         }
     }
 
-    /// Whether judges wait for the last attempt at old leafs.
+    /// Whether judges wait for the end of the last attempt on old leafs.
     fn is_moving(&self) -> bool {
         matches!(self.report.stage, Some(Stage::Shift | Stage::Commit))
     }
@@ -162,7 +157,7 @@
         };
         if attempt.is_good {
             side.good += 1;
-            side.latencies.add(attempt.takes);
+            side.latencies.add(attempt.latency);
         } else {
             side.failed += 1;
             self.bad_answers += u64::from(attempt.is_new);
@@ -171,7 +166,7 @@
 
     pub fn on_grant(&mut self, now: u64, judge: usize, grant: Grant) {
         self.unanswered[judge] = None;
-        self.judges[judge] = Some(Heard { at: now, grant });
+        self.judges[judge] = Some(ReceivedGrant { at: now, grant });
         let stage = self.stage(now).map(|(stage, _)| stage);
         if stage != self.report.stage {
             self.reports_at = now;
--- a/crates/tansylead-route/tests/roll_out_world/mod.rs
+++ b/crates/tansylead-route/tests/roll_out_world/mod.rs
@@ -1,4 +1,4 @@
-//! A roll-out played in virtual time: real judges, simple daemons and leafs that answer by chance.
+//! Simulation of a roll-out in virtual time: real judges, simple daemons and leafs with random answers.
 
 mod daemon;
 mod service;
@@ -6,7 +6,7 @@
 use daemon::Daemon;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use service::poisson;
-pub use service::{Badness, Service, Trouble};
+pub use service::{Defect, Service, SharedFault};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tansylead_route::{
@@ -17,46 +17,47 @@
 
 /// Step of virtual time, in milliseconds.
 const STEP: u64 = 10;
-/// Judges of a roll-out.
+/// Number of judges of a roll-out.
 const JUDGES: usize = 3;
-const LOOK_EVERY: u64 = 250;
-/// Longest way of a message, in milliseconds.
-const LONGEST_WAY: u64 = 20;
-/// From a write until every daemon knows of it.
-const KNOWN_AFTER: u64 = 100;
-/// Until a judge that was lost is no member any more.
-const LOSS_NOTICED: u64 = 1_000;
-/// Played on beyond the deadline.
-const BEYOND: u64 = 6_000;
+/// Time between looks, in milliseconds.
+const LOOK_PERIOD: u64 = 250;
+/// Longest transit time of a message, in milliseconds.
+const MAXIMUM_TRANSIT: u64 = 20;
+/// Time from a write until every daemon knows of it, in milliseconds.
+const PROPAGATION: u64 = 100;
+/// Time until a judge that was killed is removed from the members, in milliseconds.
+const FAILURE_DETECTION: u64 = 1_000;
+/// How long the simulation goes on after the deadline, in milliseconds.
+const OVERTIME: u64 = 6_000;
 
-/// What is played.
+/// Scenario of a simulation.
 #[derive(Debug, Clone)]
-pub struct Setting {
+pub struct Scenario {
     pub daemons: usize,
     pub duration: Duration,
     pub service: Service,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Whether judges send grants unasked after each look to daemons that do not report the stage yet.
+    /// Whether judges push grants after each look to daemons that do not report the stage yet.
     pub are_stages_pushed: bool,
     /// When the first judge is killed for good, in milliseconds.
     pub judge_killed_at: Option<u64>,
-    /// From when until when the first judge's messages are lost both ways, in milliseconds.
-    pub judge_cut: Option<(u64, u64)>,
-    /// From when until when the source does not answer, in milliseconds.
-    pub source_away: Option<(u64, u64)>,
+    /// Start and end of a partition in which all messages to and from the first judge are lost, in milliseconds.
+    pub judge_partition: Option<(u64, u64)>,
+    /// Start and end of an outage of the source, in milliseconds.
+    pub source_outage: Option<(u64, u64)>,
 }
 
-/// How it ended.
+/// Result of a simulation.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     pub ended: Option<(Conclusion, ConclusionReason, u64)>,
-    /// Sends to the target version before it was taken for good.
+    /// Sends to the target version before it was accepted.
     pub sends: u64,
     pub requests: u64,
     /// Bad answers of the target version.
     pub bad: u64,
-    /// Sends beyond the bound at the worst moment.
+    /// Greatest number of sends beyond the bound at any moment.
     pub beyond_bound: f64,
 }
 
@@ -76,9 +77,9 @@
     Grant(usize, usize, Grant),
 }
 
-struct Played {
-    setting: Setting,
-    chance: StdRng,
+struct Simulation {
+    scenario: Scenario,
+    rng: StdRng,
     daemons: Vec<Daemon>,
     judges: Vec<RollOutTrial>,
     messages: VecDeque<(u64, Message)>,
@@ -86,20 +87,20 @@
     outcome: Outcome,
 }
 
-/// Plays one roll-out.
-pub fn play(setting: &Setting, seed: u64) -> Outcome {
-    let mut played = Played::new(setting.clone(), seed);
-    let end = setting.duration.as_millis() as u64 + BEYOND;
+/// Simulates one roll-out.
+pub fn simulate(scenario: &Scenario, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(scenario.clone(), seed);
+    let end = scenario.duration.as_millis() as u64 + OVERTIME;
     for step in 0..end / STEP {
         let now = step * STEP;
-        played.step(now);
-        let is_known = |(_, _, at): (_, _, u64)| now >= at + KNOWN_AFTER;
-        if played.written.is_some_and(is_known) {
+        simulation.step(now);
+        let is_known = |(_, _, at): (_, _, u64)| now >= at + PROPAGATION;
+        if simulation.written.is_some_and(is_known) {
             break;
         }
     }
-    played.outcome.ended = played.written;
-    played.outcome
+    simulation.outcome.ended = simulation.written;
+    simulation.outcome
 }
 
 pub fn node(index: usize) -> NodeId {
@@ -110,7 +111,7 @@
     usize::from(node.0.port()) - 1_000
 }
 
-/// Virtual time begins late enough for daemons that have known of the order for a while.
+/// Virtual time does not begin at zero, so that daemons may have known of the order for a while.
 pub fn at(millis: u64) -> Moment {
     Moment::from_millis(100_000 + millis)
 }
@@ -128,18 +129,18 @@
     }
 }
 
-impl Played {
-    fn new(setting: Setting, seed: u64) -> Self {
-        let order = roll_out(setting.duration);
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Self {
+        let order = roll_out(scenario.duration);
         let judge = |index| RollOutTrial::new(order.clone(), BOUNDS, node(index), at(0));
-        let mut chance = StdRng::seed_from_u64(seed);
-        let daemons = (0..setting.daemons)
-            .map(|index| Daemon::new(index, &order, chance.random_range(0..1_000)))
+        let mut rng = StdRng::seed_from_u64(seed);
+        let daemons = (0..scenario.daemons)
+            .map(|index| Daemon::new(index, &order, rng.random_range(0..1_000)))
             .collect();
         Self {
-            judges: (0..JUDGES.min(setting.daemons)).map(judge).collect(),
-            setting,
-            chance,
+            judges: (0..JUDGES.min(scenario.daemons)).map(judge).collect(),
+            scenario,
+            rng,
             daemons,
             messages: VecDeque::new(),
             written: None,
@@ -147,14 +148,14 @@
         }
     }
 
-    fn is_lost(&self, index: usize, now: u64) -> bool {
-        index == 0 && self.setting.judge_killed_at.is_some_and(|at| now >= at)
+    fn is_killed(&self, index: usize, now: u64) -> bool {
+        index == 0 && self.scenario.judge_killed_at.is_some_and(|at| now >= at)
     }
 
     fn step(&mut self, now: u64) {
         self.requests(now);
         for index in 0..self.daemons.len() {
-            if self.is_lost(index, now) {
+            if self.is_killed(index, now) {
                 continue;
             }
             self.daemons[index].finish_attempts(now);
@@ -165,7 +166,7 @@
             }
         }
         self.deliver(now);
-        if now.is_multiple_of(LOOK_EVERY) {
+        if now.is_multiple_of(LOOK_PERIOD) {
             for judge in 0..self.judges.len() {
                 self.look(judge, now);
             }
@@ -174,25 +175,25 @@
     }
 
     fn requests(&mut self, now: u64) {
-        let mean = self.setting.service.rate * STEP as f64 / 1_000.0;
-        for _ in 0..poisson(&mut self.chance, mean) {
-            let index = self.chance.random_range(0..self.daemons.len());
-            if !self.is_lost(index, now) {
-                let deadline = self.setting.duration;
-                let service = &self.setting.service;
-                self.daemons[index].request(now, service, deadline, &mut self.chance);
+        let mean = self.scenario.service.rate * STEP as f64 / 1_000.0;
+        for _ in 0..poisson(&mut self.rng, mean) {
+            let index = self.rng.random_range(0..self.daemons.len());
+            if !self.is_killed(index, now) {
+                let deadline = self.scenario.duration;
+                let service = &self.scenario.service;
+                self.daemons[index].request(now, service, deadline, &mut self.rng);
             }
         }
     }
 
     fn send(&mut self, now: u64, message: Message) {
         let (Message::Report(judge, _) | Message::Grant(_, judge, _)) = &message;
-        let cut = self.setting.judge_cut;
-        if *judge == 0 && cut.is_some_and(|(from, to)| (from..to).contains(&now)) {
+        let partition = self.scenario.judge_partition;
+        if *judge == 0 && partition.is_some_and(|(from, to)| (from..to).contains(&now)) {
             return;
         }
-        if self.chance.random::<f64>() >= self.setting.loss {
-            let arrives = now + self.chance.random_range(1..=LONGEST_WAY);
+        if self.rng.random::<f64>() >= self.scenario.loss {
+            let arrives = now + self.rng.random_range(1..=MAXIMUM_TRANSIT);
             self.messages.push_back((arrives, message));
         }
     }
@@ -207,7 +208,7 @@
                 continue;
             }
             match message {
-                Message::Report(judge, report) if !self.is_lost(judge, now) => {
+                Message::Report(judge, report) if !self.is_killed(judge, now) => {
                     self.answer(judge, now, &report);
                 }
                 Message::Grant(daemon, judge, grant) => {
@@ -225,20 +226,20 @@
     }
 
     fn look(&mut self, judge: usize, now: u64) {
-        if self.is_lost(judge, now) {
+        if self.is_killed(judge, now) {
             return;
         }
-        let is_noticed = now >= LOSS_NOTICED && self.is_lost(0, now - LOSS_NOTICED);
+        let is_noticed = now >= FAILURE_DETECTION && self.is_killed(0, now - FAILURE_DETECTION);
         let first = usize::from(is_noticed);
         let members: Vec<NodeId> = (first..self.daemons.len()).map(node).collect();
-        let away = self.setting.source_away;
+        let outage = self.scenario.source_outage;
         let context = TrialContext {
             members: &members,
             rank: judge - first,
-            is_source_fresh: away.is_none_or(|(from, to)| now < from || now >= to),
+            is_source_fresh: outage.is_none_or(|(from, to)| now < from || now >= to),
         };
         let verdict = self.judges[judge].look(at(now), context);
-        if self.setting.are_stages_pushed {
+        if self.scenario.are_stages_pushed {
             self.push_stage(judge, now);
         }
         if let (Some((conclusion, reason)), None) = (verdict.write, self.written) {
--- a/crates/tansylead-route/tests/version_gate.rs
+++ b/crates/tansylead-route/tests/version_gate.rs
@@ -1,4 +1,4 @@
-//! What the leafs of a service may be used for by their version.
+//! Which leafs of a service may be used, by their versions.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const NOW: Moment = Moment(1_000_000);
 const VALID: Duration = Duration::from_secs(1);
-/// Revision of the first word on orders, and of the leafs that ran before.
+/// Revision of the first update of orders, and of the leafs that ran before.
 const BEFORE: Revision = Revision::first_era(10);
 const ORDERED: Revision = Revision::first_era(20);
 const ENDED: Revision = Revision::first_era(30);
@@ -38,7 +38,7 @@
     }
 }
 
-/// A service with leafs of `old`, of which the orders are known.
+/// A service with leafs of `old` and no order.
 fn gate() -> VersionGate {
     let mut gate = VersionGate::default();
     gate.on_version_entry(&version("old"), BEFORE);
@@ -46,7 +46,7 @@
     gate
 }
 
-/// The same with an order to roll out `new`.
+/// The same service with an order to roll out `new`.
 fn gate_under_trial() -> VersionGate {
     let mut gate = gate();
     gate.on_version_entry(&version("new"), LATER);
@@ -342,7 +342,7 @@
     assert_eq!(tell(Stage::Commit), None);
 }
 
-/// Something that happens to a gate.
+/// Event at a gate.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Granted(Stage, u64),
--- a/crates/tansylead-route/tests/version_settled.rs
+++ b/crates/tansylead-route/tests/version_settled.rs
@@ -1,4 +1,4 @@
-//! When an order is taken to be for the version that its service runs alone, so that nothing is tried.
+//! When an order is settled without a trial, because its service already runs only the target version.
 
 use std::time::Duration;
 use tansylead_route::{OrderId, Revision, RollOut, RollOutState, VersionGate};
@@ -10,11 +10,11 @@
 const FIRST: Revision = Revision::first_era(20);
 /// Revision of the leafs that were started for it.
 const STARTED: Revision = Revision::first_era(25);
-/// Revision of its end.
+/// Revision of the end of the first order.
 const ENDED: Revision = Revision::first_era(30);
-/// Revision of the order that follows.
+/// Revision of the second order.
 const SECOND: Revision = Revision::first_era(40);
-/// A later one.
+/// Revision after the second order.
 const LATER: Revision = Revision::first_era(50);
 
 fn version(name: &str) -> SoftwareVersion {
@@ -32,7 +32,7 @@
     }
 }
 
-/// A service that was moved to `good`, and then had an order for `bad` that ended in this way.
+/// A service that was moved to `good`, and then had an order for `bad` that ended in this state or was withdrawn.
 fn after_an_order_for_bad(end: Option<RollOutState>) -> VersionGate {
     let mut gate = VersionGate::default();
     gate.on_version_entry(&version("old"), Revision::first_era(5));
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_version_that_is_ordered_again_after_it_failed_is_tried_again() {
-    // Regression: the leafs of the last completed version, started before its completion, were left out, and
+    // Regression: the leafs of the last completed version were ignored, as they had started before its completion, and
     // the bad version was completed at once.
     for end in [Some(RollOutState::RolledBack), None] {
         let mut gate = after_an_order_for_bad(end);
@@ -74,8 +74,8 @@
 
 #[test]
 fn leafs_whose_entries_changed_after_the_order_count_as_leafs_of_another_version() {
-    // Regression: a daemon that starts during a roll-out sees the last change of each entry only, which may have
-    // come after the order.
+    // Regression: a daemon that starts during a roll-out sees only the last change of each entry, which may be newer
+    // than the order.
     let mut gate = VersionGate::default();
     gate.on_version_entry(&version("bad"), BEFORE);
     gate.on_version_entry(&version("good"), LATER);
@@ -86,7 +86,7 @@
 
 #[test]
 fn leafs_without_a_version_count_as_leafs_of_another_version() {
-    // Regression: they were not remembered at all.
+    // Regression: entries without a version were ignored.
     let mut gate = VersionGate::default();
     gate.on_entry_without_version(BEFORE);
     gate.on_version_entry(&version("bad"), BEFORE);
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_version_that_came_back_after_a_completion_counts_although_it_was_shown_before() {
-    // Regression: only the oldest entry of a version was looked at, and that was stopped by the completion.
+    // Regression: only the oldest entry of a version was considered, which the completion had stopped.
     let mut gate = VersionGate::default();
     gate.on_version_entry(&version("old"), Revision::first_era(5));
     gate.on_version_entry(&version("new"), Revision::first_era(8));
