--- a/crates/tansylead-route/src/configuration.rs
+++ b/crates/tansylead-route/src/configuration.rs
@@ -7,21 +7,21 @@
 use std::time::Duration;
 use tansylead_types::ServiceName;
 
-/// One whole version of the configuration. Never changed; replaced by a greater version.
+/// One whole version of the configuration. Immutable; replaced by a greater version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Version; greater is newer, in uneven steps.
+    /// Version; greater is newer, and numbers may be skipped.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Arc<Route>>,
     /// Services by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
 }
 
 impl Configuration {
-    /// The services that are shards of a route; some may come several times.
+    /// The services that are shards of a route, possibly with duplicates.
     pub fn shards(&self) -> impl Iterator<Item = &ServiceName> {
         self.routes.iter().flat_map(|route| match &route.target {
             Target::Shards(set) => set.shards.as_slice(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// One route: which requests it takes, where they go, and under which policy.
+/// One route: which requests it matches, where they go, and under which policy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name, for logs and metrics.
@@ -41,7 +41,7 @@
     pub path_prefix: String,
     /// Where requests go.
     pub target: Target,
-    /// How they are handled.
+    /// How requests are handled.
     pub policy: Policy,
 }
 
@@ -54,30 +54,30 @@
     Shards(ShardSet),
 }
 
-/// A service with its share of a route's requests.
+/// A service and its weight within a route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// Service.
+    /// Service that takes the requests.
     pub service: ServiceName,
-    /// Weight; a share of the sum of all weights of the route.
+    /// Weight, relative to the sum of all weights of the route.
     pub weight: f64,
 }
 
-/// The shards a query is spread over. Each shard is a service whose leafs are replicas.
+/// The shards that a query fans out to. Each shard is a service whose leafs are replicas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShardSet {
-    /// Shards.
+    /// One service for each shard.
     pub shards: Vec<ServiceName>,
     /// Number of records in the merged answer.
     pub top: usize,
-    /// Least share of shards in an answer, 0 to 1.
+    /// Minimum share of shards that an answer must cover, 0 to 1.
     pub minimum_coverage: f64,
 }
 
 impl ShardSet {
-    /// Least number of parts that make an answer; at least one.
+    /// Minimum number of parts in an answer; at least one.
     pub fn parts_needed(&self) -> usize {
-        /// Tolerance for products such as 0.9 times 10.
+        /// Tolerance for rounding errors of products such as 0.9 times 10.
         const ROUNDING: f64 = 1e-9;
         let exact = self.minimum_coverage * self.shards.len() as f64;
         ((exact - ROUNDING).ceil() as usize).max(1)
@@ -89,13 +89,13 @@
 pub struct Policy {
     /// Whether a request may run more than once.
     pub repeatable: bool,
-    /// Most leafs one request may be sent to; of a query over shards, for each shard.
+    /// Maximum number of leafs that one request is sent to; for a query over shards, per shard.
     pub maximum_attempts: u32,
-    /// Longest time a request is held.
+    /// Maximum time until a request is answered.
     pub timeout: Duration,
-    /// Time within which an answer has its full worth.
+    /// Latency objective: an answer within this time has its full value.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// Regions whose leafs may serve the requests.
     pub homes: HomeRegions,
@@ -104,22 +104,22 @@
 /// A service as configured.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Connections one leaf accepts from all callers together.
+    /// Maximum number of connections that one leaf accepts from all callers together.
     pub maximum_connections: u32,
-    /// Requests a second that one leaf bears from all callers together while it is cold; none if it
-    /// bears as many as any other.
+    /// Requests per second that one leaf can take from all callers together while it is cold; none if
+    /// it can take as many as any other.
     pub cold_requests_per_second: Option<f64>,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size and the duration of callers' requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of request line and headers.
+    /// Maximum bytes of request line and headers.
     pub header_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum bytes of a body.
     pub body_bytes: usize,
-    /// Time for the headers of one request.
+    /// Maximum time for receiving the headers of one request.
     pub header_timeout: Duration,
-    /// Time a connection may rest between requests.
+    /// Maximum time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
--- a/crates/tansylead-route/src/failure_rate.rs
+++ b/crates/tansylead-route/src/failure_rate.rs
@@ -1,17 +1,17 @@
-//! Recent failures of one leaf, as a moving average.
+//! Recent failure rate of one leaf, as a moving average.
 //!
-//! A leaf can fail a part of its requests while it answers the others fast and its health check is
-//! good. Its own answers tell. Without new answers the average fades, so that a leaf that was
-//! avoided is tried again.
+//! A leaf can fail a part of its requests while it answers the others fast and its health check
+//! passes, so the rate is learned from its answers. Without new answers the average decays, so that
+//! a leaf that was avoided is tried again.
 
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Weight of a new answer.
+/// Weight of a new answer in the average.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Without answers the rate halves in this time.
 const HALF_LIFE: Duration = Duration::from_secs(2);
-/// A rate below this counts as none.
+/// A rate below this counts as zero.
 const NEGLIGIBLE: f64 = 0.01;
 
 /// Share of a leaf's recent answers that were failures.
@@ -22,11 +22,11 @@
 }
 
 impl FailureRate {
-    /// Notes how one request ended.
+    /// Records how one request ended.
     pub fn record(&mut self, now: Moment, failed: bool) {
         let sample = if failed { 1.0 } else { 0.0 };
-        let faded = self.rate(now);
-        self.rate = faded + SAMPLE_WEIGHT * (sample - faded);
+        let decayed = self.rate(now);
+        self.rate = decayed + SAMPLE_WEIGHT * (sample - decayed);
         self.updated = now;
     }
 
--- a/crates/tansylead-route/src/latency.rs
+++ b/crates/tansylead-route/src/latency.rs
@@ -1,26 +1,26 @@
 //! Learned latency of one kind of request, and when an answer counts as overdue.
 //!
-//! The upper quartile is learned rather than a high quantile: pauses and slow leafs reach the
-//! high quantiles, and would raise the very delay that is meant to notice them.
+//! The upper quartile is learned rather than a high quantile: pauses and slow leafs affect the high
+//! quantiles, and would raise the very delay that is meant to detect them.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Unit of the histogram.
+/// Resolution of the histogram.
 const UNIT: Duration = Duration::from_micros(100);
 const LONGEST_UNITS: u64 = 600_000;
 const SIGNIFICANT_DIGITS: u8 = 1;
 /// Half of the window over which latencies are learned.
 const HALF_WINDOW: Duration = Duration::from_secs(5);
-/// Below this number of samples nothing has been learned.
+/// With fewer samples the latency counts as unknown.
 const MINIMUM_SAMPLES: u64 = 20;
 const QUANTILE: f64 = 0.75;
-/// An answer is overdue after the learned quantile times this: beyond 99 in 100 for latencies
-/// whose logarithms spread by up to 0.5.
+/// An answer is overdue after the learned quantile times this factor. More than 99 in 100 answers are
+/// faster if the standard deviation of the latencies' logarithms is at most 0.5.
 pub(crate) const OVERDUE_FACTOR: f64 = 2.2;
 
-/// Latencies of one kind of request, without the time on the way.
+/// Latencies of one kind of request, without the network round trip.
 #[derive(Debug, Clone)]
 pub struct LatencyProfile {
     older: Histogram<u32>,
@@ -39,7 +39,7 @@
 }
 
 impl LatencyProfile {
-    /// Notes how long an answer took.
+    /// Records how long an answer took.
     pub fn record(&mut self, now: Moment, latency: Duration) {
         self.rotate(now);
         let units = (latency.as_micros() / UNIT.as_micros()).max(1);
@@ -48,7 +48,7 @@
         self.newer.saturating_record(units);
     }
 
-    /// Typical latency: the upper quartile; none while too little has been seen.
+    /// Typical latency: the upper quartile; none while there are too few samples.
     pub fn typical(&self) -> Option<Duration> {
         if self.older.len() < MINIMUM_SAMPLES {
             return None;
@@ -57,7 +57,7 @@
         Some(UNIT * u32::try_from(units).unwrap_or(u32::MAX))
     }
 
-    /// Time after which an answer is overdue; none while too little has been seen.
+    /// Time after which an answer is overdue; none while there are too few samples.
     pub fn overdue(&self) -> Option<Duration> {
         self.typical()
             .map(|typical| typical.mul_f64(OVERDUE_FACTOR))
--- a/crates/tansylead-route/src/slowness.rs
+++ b/crates/tansylead-route/src/slowness.rs
@@ -1,22 +1,22 @@
-//! How slow one leaf is, relative to what is typical for a kind of request.
+//! Slowness of one leaf: its latency relative to the typical one of a kind of request.
 //!
-//! A short pause makes the answers late that were under way, all at once; it says nothing about
-//! later requests. A leaf whose next answer is late too, to a request sent after the late one, is
-//! slow, and each further request to find out how slow would be late as well. So a daemon that finds
-//! out tells others of its region, and they keep away without trying for themselves.
+//! A short pause delays all answers that are in flight at once, but tells nothing about later
+//! requests. A leaf is slow if the answer to a request sent after a late answer is late too. Each
+//! further request that measures how slow it is would also be late, so a daemon that detects a slow
+//! leaf tells others of its region, and they avoid the leaf without trying it themselves.
 
 use crate::latency::OVERDUE_FACTOR;
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Weight of a new sample.
+/// Weight of a new sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Largest factor that another daemon is believed.
+/// Upper bound on a factor reported by another daemon.
 const LARGEST_REPORTED: f64 = 20.0;
-/// Slowness is forgotten after so many usual gaps between requests without an answer: one request
-/// in so many finds out whether the leaf is still slow.
-const FORGOTTEN_GAPS: u32 = 8;
-/// Bounds of that time.
+/// Slowness expires after this many usual gaps between requests without an answer, so that one request
+/// in this many tests whether the leaf is still slow.
+const LIFETIME_GAPS: u32 = 8;
+/// Lower and upper bound of the time after which slowness expires.
 const SHORTEST_LIFETIME: Duration = Duration::from_secs(1);
 const LONGEST_LIFETIME: Duration = Duration::from_secs(5);
 
@@ -25,9 +25,9 @@
 pub struct Slowness {
     factor: f64,
     answered_at: Moment,
-    /// When something was last learned of the factor, from an answer or from another daemon.
+    /// When an answer or a report of another daemon last updated the factor.
     learned_at: Moment,
-    /// When the last late answer came, if no timely one came since.
+    /// When the first late answer since the last timely one came.
     late_at: Option<Moment>,
 }
 
@@ -48,20 +48,21 @@
         self.answered_at
     }
 
-    /// Notes an answer in time that took `ratio` times what is typical. Returns whether this shows
-    /// that a leaf thought to be slow is not.
+    /// Records a timely answer that took `ratio` times the typical latency. Returns whether this shows
+    /// that a leaf that counted as slow is not.
     pub fn on_timely(&mut self, now: Moment, ratio: f64) -> bool {
         let was_slow = self.factor > OVERDUE_FACTOR;
         self.answered_at = now;
         self.learned_at = now;
         self.late_at = None;
-        // A leaf that takes longer would have been late.
+        // With a greater factor the answer would have been late.
         self.factor = self.factor.min(OVERDUE_FACTOR);
         self.add(ratio);
         was_slow
     }
 
-    /// Notes a late answer to a request sent at `sent`. Returns whether this shows a slow leaf.
+    /// Records a late answer to a request sent at `sent`. Returns whether this shows that the leaf is
+    /// slow.
     pub fn on_late(&mut self, now: Moment, sent: Moment, ratio: f64) -> bool {
         self.answered_at = now;
         self.learned_at = now;
@@ -73,20 +74,20 @@
         is_slow
     }
 
-    /// Takes in another daemon's report that the leaf takes `factor` times what is typical.
+    /// Handles another daemon's report that the leaf takes `factor` times the typical latency.
     pub fn on_reported(&mut self, now: Moment, factor: f64) {
         self.factor = factor.clamp(1.0, LARGEST_REPORTED);
         self.learned_at = now;
     }
 
-    /// Notes that a request waits for `ratio` times what is typical, although others are answered.
+    /// Records that a request has waited `ratio` times the typical latency although others are answered.
     pub fn on_waiting(&mut self, ratio: f64) {
         self.add(ratio);
     }
 
-    /// The factor now; `usual_gap` lies between requests to the leaf.
+    /// The factor at `now`; `usual_gap` is the usual gap between requests to the leaf.
     pub fn factor(&self, now: Moment, usual_gap: Duration) -> f64 {
-        let gaps = usual_gap.saturating_mul(FORGOTTEN_GAPS);
+        let gaps = usual_gap.saturating_mul(LIFETIME_GAPS);
         let lifetime = gaps.clamp(SHORTEST_LIFETIME, LONGEST_LIFETIME);
         let is_fresh = now.since(self.learned_at) < lifetime;
         if is_fresh { self.factor } else { 1.0 }
