--- a/crates/tansylead-route/src/listing.rs
+++ b/crates/tansylead-route/src/listing.rs
@@ -1,44 +1,45 @@
-//! Whether a leaf's entry stands in the directory, and what a missing entry says of the leaf.
+//! Whether a leaf is listed in the directory, and how a leaf may be used whose entry is missing.
 //!
-//! A leaf that ends well says first that it leaves. An entry that goes without a word is no proof of
-//! death: it goes when the leaf has crashed, when it leaves without saying so, and also when the
-//! source was away for so long that it lapsed. In that last case the entry is back soon after the
-//! source's return, if the leaf lives, and until then its own answers tell more than the directory.
+//! A leaf that stops in order announces first that it leaves. An entry that disappears without that does not
+//! prove that the leaf is dead: it disappears when the leaf has crashed, when it leaves without an announcement,
+//! and also when the source was unreachable for so long that the entry expired. In that last case the entry is
+//! back soon after the source returns, if the leaf lives. Until then the leaf's own answers are better evidence
+//! than the directory.
 //!
-//! A source that comes back from an older copy of itself has lost what leafs wrote since, and lists leafs that
-//! were gone. The first are treated like lapsed entries; the second are in doubt until their entries have been
-//! there for longer than those of dead leafs stand.
+//! A source that is restored from an older copy has lost what leafs wrote since, and lists leafs that were gone.
+//! Lost entries are treated like expired ones. Entries that reappear are doubtful until they have existed for
+//! longer than those of dead leafs do.
 
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Entries that lapsed while the source was away are back within two seconds of its return, if the
-/// leaf lives and reaches it; half a second more is for the way of the news to each daemon.
-const LAPSED_RETURN: Duration = Duration::from_millis(2_500);
+/// Entries that expired while the source was unreachable are back within two seconds of its return, if the
+/// leaf lives and reaches it; half a second more allows for propagation to each daemon.
+const EXPIRED_RETURN_TIME: Duration = Duration::from_millis(2_500);
 
-/// An entry that an older copy of the source has brought back lapses within this time if no leaf writes it:
-/// three heartbeats of the longest period that deployments have, and the way of the news.
-const DOUBT: Duration = Duration::from_secs(12);
+/// An entry that reappeared with an older copy of the source expires within this time if no leaf renews it:
+/// three heartbeats of the longest period that deployments use, and the propagation delay.
+const DOUBT_TIME: Duration = Duration::from_secs(12);
 
-/// What the directory says of a leaf's entry.
+/// State of a leaf's entry in the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Listing {
-    /// The entry is there.
+    /// The entry exists.
     #[default]
     Listed,
     /// The entry is missing.
     Missing {
-        /// Since when.
+        /// When this state began.
         since: Moment,
-        /// Whether nothing had been heard from the source for long before.
+        /// Whether the source had been unreachable for long before.
         source_was_away: bool,
     },
-    /// The entry was gone, and an older copy of the source has brought it back.
+    /// The entry was gone, and has reappeared because the source was restored from an older copy.
     Doubtful {
-        /// Since when.
+        /// When this state began.
         since: Moment,
     },
-    /// Another run of a leaf has the address: this one has ended.
+    /// Another run of a leaf has the address, so this one has ended.
     Replaced,
 }
 
@@ -54,20 +55,20 @@
 }
 
 impl Listing {
-    /// How a leaf that never said it was leaving may be used. A missing leaf is the last resort for
-    /// `grace`.
+    /// How a leaf that never announced that it leaves may be used. A missing leaf is a last resort for
+    /// `grace`, then it is gone.
     pub fn standing(self, now: Moment, grace: Duration) -> Standing {
         match self {
             Self::Listed => Standing::Regular,
             Self::Replaced => Standing::Gone,
-            Self::Doubtful { since } if now.since(since) < DOUBT => Standing::LastResort,
+            Self::Doubtful { since } if now.since(since) < DOUBT_TIME => Standing::LastResort,
             Self::Doubtful { .. } => Standing::Regular,
             Self::Missing {
                 since,
                 source_was_away,
             } => {
                 let missing_for = now.since(since);
-                if source_was_away && missing_for < LAPSED_RETURN {
+                if source_was_away && missing_for < EXPIRED_RETURN_TIME {
                     Standing::Regular
                 } else if missing_for < grace {
                     Standing::LastResort
@@ -78,11 +79,11 @@
         }
     }
 
-    /// After the entry has come (again).
+    /// The state after the entry has been received again.
     pub fn after_present(self) -> Self {
         match self {
             Self::Listed | Self::Missing { .. } | Self::Doubtful { .. } => Self::Listed,
-            // An entry that is only not yet removed brings no leaf back.
+            // The entry of a run that has ended may not have been removed yet.
             Self::Replaced => Self::Replaced,
         }
     }
--- a/crates/tansylead-route/src/query_admission.rs
+++ b/crates/tansylead-route/src/query_admission.rs
@@ -1,48 +1,48 @@
-//! Which queries over shards are refused at once while leafs are short of capacity.
+//! Admission control of queries over shards: refuses some at once while leafs are overloaded.
 //!
-//! When the sound leafs of several shards are asked for more than they bear, each of them refuses or
-//! delays a part of the requests, and different parts are missing from every query: hardly any has
-//! enough of them in time, although the leafs work without a pause. Fewer queries, each of them
-//! whole, are worth more. So a daemon that sees queries miss their objective while leafs refuse parts
-//! as full admits a smaller share of them, and raises the share as queries succeed or time passes.
+//! When the healthy leafs of several shards are overloaded, each of them refuses or delays a part of
+//! the requests, and different parts are missing from every query: hardly any query has enough parts in
+//! time, although the leafs are fully busy. Fewer queries with complete answers have more value. So a
+//! daemon that sees queries miss their objective while full leafs refuse parts admits a smaller share
+//! of them, and raises the share as queries succeed or time passes.
 //!
-//! Invariants: a caller that has come back after a refusal is never refused again; the share never
-//! falls below [`LEAST_SHARE`], so that the effect of admitting fewer is always measured, and queries
-//! go on where the cause is another.
+//! Invariants: a caller that retries after a refusal is never refused again; the share never falls below
+//! [`LEAST_SHARE`], so that the effect of admitting fewer is always observed, and queries continue if the
+//! cause is a different one.
 
 use std::time::Duration;
 use tansylead_types::Moment;
 
 /// Factor of the share after a query that missed its objective while leafs refused its parts. A
-/// fall by a fifth and a rise by as much keep the full share while half of the queries are in time;
-/// faster falls and slower rises refused too many (measured on the users' bench, docs/POLICY.md).
+/// decrease by a fifth and an equal increase keep the full share while half of the queries are in time;
+/// faster decreases and slower increases refused too many (docs/POLICY.md).
 const DECREASE: f64 = 0.8;
 /// Added to the share after a query in time.
 const INCREASE: f64 = 0.2;
-/// Added to the share in each second without any evidence: a whole share is back 14 s after the last
-/// query, at the latest.
+/// Added to the share in each second, also without any queries: the share is back at 1 at most 14 s
+/// after the last query.
 const RECOVERY_PER_SECOND: f64 = 0.05;
-/// Least share of the queries that is admitted. Tries at 0.2 and 0.4 changed other figures too; it was
-/// not measured by itself.
+/// Minimum share of the queries that is admitted. Trials at 0.2 and 0.4 changed other constants as well,
+/// so the effect of this one alone is unknown.
 const LEAST_SHARE: f64 = 0.3;
-/// A caller that waits for less than this share of the longest time seen has waited before: callers
-/// come back after up to a third of their time.
-const FIRST_TIME_SHARE: f64 = 0.9;
-/// Factor of the longest time seen in each second: half of it is forgotten in 140 s, since the
-/// callers' time-outs may become shorter.
+/// A caller whose time left is below this share of the longest one seen is retrying: callers retry after
+/// up to a third of their time.
+const FIRST_ATTEMPT_SHARE: f64 = 0.9;
+/// Factor of the longest time seen in each second: it halves in 140 s, since the callers' timeouts may
+/// become shorter.
 const LONGEST_DECAY_PER_SECOND: f64 = 0.995;
 
-/// A change of what is admitted that is worth a line in the log.
+/// A change of the admission that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionChange {
-    /// From now on a part of the queries is refused.
+    /// Some queries are refused from now on.
     Lowered,
-    /// From now on all queries are admitted.
+    /// All queries are admitted from now on.
     Restored,
 }
 
 impl AdmissionChange {
-    /// Name, for logs.
+    /// Name in logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Lowered => "lowered",
@@ -55,11 +55,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct QueryAdmission {
     share: f64,
-    /// Whether lowering the share was told, and restoring it was not yet.
+    /// Whether lowering the share was reported, and restoring it was not yet.
     is_lowered: bool,
-    /// When the share was last brought up to date.
+    /// When the share was last updated.
     updated_at: Moment,
-    /// The longest time that a caller has waited for an answer, lately.
+    /// Longest time left of a caller seen recently; it decays.
     longest_time_left: Duration,
 }
 
@@ -75,15 +75,15 @@
 }
 
 impl QueryAdmission {
-    /// Whether a query is admitted whose caller waits for `time_left`. `random` lies in 0 to 1.
+    /// Whether to admit a query whose caller waits for `time_left`. `random` is in 0 to 1.
     pub fn admits(&mut self, now: Moment, time_left: Duration, random: f64) -> bool {
         self.recover(now);
         self.longest_time_left = self.longest_time_left.max(time_left);
-        let has_waited = time_left < self.longest_time_left.mul_f64(FIRST_TIME_SHARE);
-        has_waited || random < self.share
+        let is_retry = time_left < self.longest_time_left.mul_f64(FIRST_ATTEMPT_SHARE);
+        is_retry || random < self.share
     }
 
-    /// Notes a query that had enough parts within its objective.
+    /// Records a query that had enough parts within its objective.
     pub fn on_timely(&mut self, now: Moment) -> Option<AdmissionChange> {
         self.recover(now);
         self.share = (self.share + INCREASE).min(1.0);
@@ -92,7 +92,7 @@
         is_restored.then_some(AdmissionChange::Restored)
     }
 
-    /// Notes a query that missed its objective while leafs refused parts of it as full.
+    /// Records a query that missed its objective while full leafs refused parts of it.
     pub fn on_overload(&mut self, now: Moment) -> Option<AdmissionChange> {
         self.recover(now);
         self.share = (self.share * DECREASE).max(LEAST_SHARE);
--- a/crates/tansylead-route/src/records.rs
+++ b/crates/tansylead-route/src/records.rs
@@ -1,21 +1,21 @@
-//! Merging of parts: the greatest records of fixed size, with equal records kept.
+//! Merges parts into the greatest records, which have a fixed size. Duplicates are kept.
 
-/// Bytes of one record.
+/// Size of one record in bytes.
 pub const RECORD_BYTES: usize = 16;
 
 /// One record; compared byte by byte.
 pub type Record = [u8; RECORD_BYTES];
 
-/// The greatest records seen so far, at most a given number.
+/// The greatest records added so far, up to a limit.
 #[derive(Debug, Clone)]
 pub struct TopRecords {
     limit: usize,
-    /// In no order until taken.
+    /// Unsorted until [`Self::into_bytes`].
     records: Vec<Record>,
 }
 
 impl TopRecords {
-    /// Keeps the greatest `limit` records.
+    /// Creates an empty set that keeps the greatest `limit` records.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes in the records of a part. A remainder shorter than a record is no record.
+    /// Adds the records of a part. A trailing remainder shorter than a record is ignored.
     pub fn add(&mut self, part: &[u8]) {
         let (records, _remainder) = part.as_chunks::<RECORD_BYTES>();
         self.records.extend_from_slice(records);
--- a/crates/tansylead-route/src/route_table.rs
+++ b/crates/tansylead-route/src/route_table.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Routes of one version, by host.
+/// Routes of one configuration version, indexed by host.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     /// Routes of each host, longest prefix first.
@@ -25,7 +25,7 @@
         Self { hosts }
     }
 
-    /// The route of a request to this host and path. The host may carry a port and capitals.
+    /// The route of a request to this host and path. The host may have a port and upper-case letters.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = match self.hosts.get(name) {
