--- a/crates/tansylead-gateway/src/cluster/source_feed.rs
+++ b/crates/tansylead-gateway/src/cluster/source_feed.rs
@@ -12,7 +12,7 @@
 use futures_util::stream::FuturesUnordered;
 use std::rc::Rc;
 use std::time::Duration;
-use tansylead_route::{FirstReadPace, Revision};
+use tansylead_route::{FirstReadBackoff, Revision};
 use tansylead_types::Moment;
 
 /// Changes that come within this time are taken together.
@@ -96,7 +96,7 @@
     async fn read_cached(&mut self) {
         tokio::time::sleep(FIRST_READ_SPREAD.mul_f64(rand::random())).await;
         let source = Rc::clone(&self.source);
-        let mut pace = FirstReadPace::default();
+        let mut pace = FirstReadBackoff::default();
         let mut reads = FuturesUnordered::new();
         let mut last_wait = Clock.now();
         while !self.gateway.knows(self.topic) {
--- a/crates/tansylead-gateway/src/execution/gather.rs
+++ b/crates/tansylead-gateway/src/execution/gather.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tansylead_http::Reply;
 use tansylead_route::{
-    Patience, Route, ShardSet, TopRecords, retry_after_outage, retry_after_refusal,
+    AnswerDeadlines, Route, ShardSet, TopRecords, retry_after_outage, retry_after_refusal,
 };
 use tansylead_types::{Moment, ServiceName};
 use tokio::task::spawn_local;
@@ -58,7 +58,7 @@
 /// Runs a query over shards.
 pub async fn gather(query: GatherQuery, set: &ShardSet) -> Outcome {
     let policy = &query.route.policy;
-    let patience = Patience::new(policy, query.time_left);
+    let patience = AnswerDeadlines::new(policy, query.time_left);
     let mut parts = Parts::new(set);
     if query.reachable_shards(set) < parts.needed {
         return Outcome::Refused(Refusal::not_run(retry_after_outage(query.time_left)));
@@ -93,12 +93,12 @@
 /// Takes in parts until no more are worth waiting for. Returns whether the time was up.
 async fn collect(
     query: &GatherQuery,
-    patience: Patience,
+    patience: AnswerDeadlines,
     shared: &SharedProgress,
     calls: &mut FuturesUnordered<impl Future<Output = CallEnd>>,
     parts: &mut Parts,
 ) -> bool {
-    let wait_enough = Clock.sleep_until(query.arrived + patience.enough);
+    let wait_enough = Clock.sleep_until(query.arrived + patience.partial_from);
     let wait_end = Clock.sleep_until(query.arrived + patience.end);
     tokio::pin!(wait_enough, wait_end);
     let mut past_enough = false;
--- a/crates/tansylead-gateway/src/leaf/attempt.rs
+++ b/crates/tansylead-gateway/src/leaf/attempt.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tansylead_http::{ConnectOptions, ExchangeError, HttpConnection, Reply};
-use tansylead_route::{RequestFingerprints, SHORTEST_FORGOTTEN_REST};
+use tansylead_route::{RequestFingerprints, SHORTEST_IDLE_RESET};
 use tansylead_types::{Moment, StepError};
 
 /// Longest answer that is taken from a leaf, in bytes.
@@ -158,7 +158,7 @@
     let longest_rest = if request.repeatable {
         Duration::MAX
     } else {
-        SHORTEST_FORGOTTEN_REST
+        SHORTEST_IDLE_RESET
     };
     let connections = leaf.connections();
     while let Some(mut idle) = connections.take_idle(Clock.now(), longest_rest) {
--- a/crates/tansylead-gateway/src/leaf/leaf_connections.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_connections.rs
@@ -113,7 +113,7 @@
             return waits_from_now;
         };
         let mut policy = self.idle_policy.get();
-        policy.on_forgotten(now, rested);
+        policy.on_idle_reset(now, rested);
         self.idle_policy.set(policy);
         false
     }
--- a/crates/tansylead-gateway/src/leaf/leaf_standing.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_standing.rs
@@ -21,7 +21,7 @@
     /// A leaf that is listed.
     pub(super) fn new(entry: LeafEntry) -> Self {
         let mut cold_limit = ColdLeafLimit::default();
-        cold_limit.on_told(Clock.now(), entry.warmup_left);
+        cold_limit.on_reported_cold(Clock.now(), entry.warmup_left);
         Self {
             entry: RefCell::new(entry),
             listing: Cell::default(),
@@ -42,7 +42,7 @@
         }
         if entry.warmup_left != self.entry.borrow().warmup_left {
             let mut limit = self.cold_limit.get();
-            limit.on_told(Clock.now(), entry.warmup_left);
+            limit.on_reported_cold(Clock.now(), entry.warmup_left);
             self.cold_limit.set(limit);
         }
         *self.entry.borrow_mut() = entry;
@@ -117,7 +117,7 @@
     /// if there is no bound.
     pub(super) fn set_cold_part(&self, part: Option<u32>) {
         let mut limit = self.cold_limit.get();
-        limit.set_part(part);
+        limit.set_share(part);
         self.cold_limit.set(limit);
     }
 
--- a/crates/tansylead-gateway/src/leaf/leaf_state.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_state.rs
@@ -182,7 +182,7 @@
         Candidate {
             verdict: self.verdict(now),
             distance: self.location.distance,
-            way: self.way(),
+            round_trip: self.way(),
             in_flight: self.in_flight.get(),
             limit: self.connections.limit(),
             is_reserve: self.connections.is_reserve(),
--- a/crates/tansylead-gateway/src/state.rs
+++ b/crates/tansylead-gateway/src/state.rs
@@ -23,9 +23,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tansylead_route::{
-    Configuration, ConnectionSilence, DaemonCounts, DepartedLeafs, Era, EvacuationOrders,
-    LatencyProfile, LeafDirectory, Locality, OrderMemory, QueryAdmission, QueryRunners, Revision,
-    RollOuts, RouteTable, WeightedTurns,
+    Configuration, ConnectionSilence, DaemonCounts, Era, EvacuationOrders, LatencyProfile,
+    LeafDirectory, Locality, OrderMemory, QueryAdmission, QueryRunners, RemovedLeafs, Revision,
+    RollOuts, RouteTable, WeightedRoundRobin,
 };
 use tansylead_types::{LeafId, Moment, PlaceName, ServiceName};
 use tokio::sync::watch;
@@ -90,7 +90,7 @@
     directory: RefCell<LeafDirectory>,
     source_era: Cell<Option<Era>>,
     /// Leafs that the source took out lately.
-    departed: RefCell<DepartedLeafs>,
+    departed: RefCell<RemovedLeafs>,
     /// None until it is known which zones are being emptied.
     evacuated: RefCell<Option<EvacuationOrders>>,
     /// What is ordered, as the source tells it; none until it is known.
@@ -104,7 +104,7 @@
     services: RefCell<HashMap<ServiceName, Rc<ServiceState>>>,
     leafs: RefCell<HashMap<LeafId, Rc<LeafState>>>,
     latencies: RefCell<HashMap<String, LatencyProfile>>,
-    turns: RefCell<HashMap<String, WeightedTurns>>,
+    turns: RefCell<HashMap<String, WeightedRoundRobin>>,
     admissions: RefCell<HashMap<String, QueryAdmission>>,
     /// Until when each topic was known to be current.
     confirmed: RefCell<HashMap<Topic, Moment>>,
@@ -288,8 +288,12 @@
     }
 
     /// Turns among the weighted services of a route.
-    pub fn with_turns<T>(&self, route: &str, use_turns: impl FnOnce(&mut WeightedTurns) -> T) -> T {
-        let make = || WeightedTurns::starting_at(rand::random());
+    pub fn with_turns<T>(
+        &self,
+        route: &str,
+        use_turns: impl FnOnce(&mut WeightedRoundRobin) -> T,
+    ) -> T {
+        let make = || WeightedRoundRobin::starting_at(rand::random());
         with_route_state(&self.turns, route, make, use_turns)
     }
 
--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use tansylead_route::{
     ConnectionShare, DirectoryChange, DirectoryDelta, EvacuatedZones, LeafDirectory, LeafEntry,
-    LeafReport, Service, SharedLeaf, cold_part,
+    LeafReport, Service, SharedLeaf, cold_leaf_share,
 };
 use tansylead_types::{LeafId, PlaceName, ServiceName};
 
@@ -85,8 +85,8 @@
         if !zones.apply(Clock.now(), newer) && !is_first {
             return;
         }
-        let told = zones.told();
-        log::info!(zones:? = told.zones, kept:? = zones.kept(), revision = told.at.number; "zones being emptied");
+        let told = zones.reported();
+        log::info!(zones:? = told.zones, kept:? = zones.retained(), revision = told.at.number; "zones being emptied");
         for service in self.services.borrow().values() {
             for leaf in service.all() {
                 let is_evacuated = zones.contains(&leaf.entry().zone);
@@ -101,7 +101,7 @@
     /// The zones that are being emptied, as the source tells; none if nothing is known of them yet.
     pub fn evacuated(&self) -> Option<EvacuatedZones> {
         let held = self.evacuated.borrow();
-        held.as_ref().map(|held| held.told().clone())
+        held.as_ref().map(|held| held.reported().clone())
     }
 
     fn is_evacuated(&self, entry: &LeafEntry) -> bool {
@@ -196,7 +196,7 @@
         }
         if let Some(leaf) = service.missing(&entry.run()) {
             // Its run is as old as it was before the entry went missing.
-            entry.keep_from(&leaf.entry());
+            entry.inherit_from(&leaf.entry());
             let id = entry.leaf.clone();
             leaf.update(entry);
             if is_doubtful {
@@ -308,7 +308,7 @@
         let daemons = self.daemons.borrow();
         // Leafs of shards bear few connections of each daemon of a large fleet, and nearly all are the roots'.
         let is_shard = daemons.are_known && self.is_shard(service.name());
-        let kind = daemons.runners.own_kind().filter(|_| is_shard);
+        let kind = daemons.runners.own_group().filter(|_| is_shard);
         let configured = self.configured(service.name());
         let maximum_connections = configured
             .as_ref()
@@ -318,7 +318,7 @@
             let entry = leaf.entry();
             // All daemons may have just started: none takes a part before it knows the others.
             let part = |bound| match daemons.are_known {
-                true => cold_part(&entry.leaf, bound, own_region, &daemons.counts),
+                true => cold_leaf_share(&entry.leaf, bound, own_region, &daemons.counts),
                 false => 0,
             };
             leaf.set_cold_part(cold_bound.map(part));
--- a/crates/tansylead-route/src/directory.rs
+++ b/crates/tansylead-route/src/directory.rs
@@ -1,9 +1,9 @@
-//! The leaf directory: a replica of the leafs' entries, with its recent changes for peers that lag.
+//! The leaf directory: a replica of the leafs' entries, with a log of recent changes for peers that lag.
 //!
-//! Invariants: the revision never goes down; a delta after a revision that the log still covers
-//! brings a replica of that revision to this one; an entry of a run never follows one of a later run of its
-//! leaf. A replica of an earlier era gets everything: two that held the same revision before the source went
-//! back may have held changes since that the source has lost, and no log tells of those.
+//! Invariants: the revision never decreases; a delta from a revision that the log still covers brings a
+//! replica at that revision up to date; an entry of a run never replaces one of a later run of its leaf. A
+//! replica of an earlier era gets all entries: two replicas at the same revision may since have held different
+//! changes that the source lost when it was restored, and no log contains those.
 
 use crate::leaf::LeafEntry;
 use crate::revision::Revision;
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use tansylead_types::LeafId;
 
-/// Changes kept for peers. A peer further behind gets everything.
+/// Number of changes kept for peers. A peer further behind gets all entries.
 const LOGGED_CHANGES: usize = 512;
 
 /// One change of one entry.
@@ -24,7 +24,7 @@
 }
 
 impl DirectoryChange {
-    /// The leaf concerned.
+    /// The leaf whose entry changed.
     pub fn leaf(&self) -> &LeafId {
         match self {
             DirectoryChange::Present(entry) => &entry.leaf,
@@ -33,23 +33,23 @@
     }
 }
 
-/// What brings a replica to a revision.
+/// An update that brings a replica to a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DirectoryDelta {
-    /// All entries; what is missing is gone.
+    /// All entries; leafs that are not among them are gone.
     Everything {
         /// Revision of the entries.
         at: Revision,
-        /// Entries.
+        /// Entries of all leafs.
         entries: Vec<LeafEntry>,
     },
-    /// The changes after a revision that the receiver holds.
+    /// The changes since a revision that the receiver holds.
     Changes {
-        /// Revision that the changes start from.
+        /// Revision after which the changes start.
         after: Revision,
-        /// Revision reached.
+        /// Revision after the changes.
         at: Revision,
-        /// Changes in order.
+        /// Changes in the order of their revisions.
         changes: Vec<DirectoryChange>,
     },
 }
@@ -71,7 +71,7 @@
 }
 
 impl LeafDirectory {
-    /// Revision up to which every change is held; none before the first whole read.
+    /// Revision up to which this replica is complete; none before the first full read.
     pub fn revision(&self) -> Option<Revision> {
         self.at
     }
@@ -81,8 +81,8 @@
         self.entries.values()
     }
 
-    /// Takes in a delta. Returns the changes that it made; none if it is older than what is held
-    /// or starts after it.
+    /// Applies a delta. Returns the changes that it made; none if it is older than this replica or
+    /// starts after its revision.
     pub fn apply(&mut self, delta: DirectoryDelta) -> Vec<DirectoryChange> {
         match delta {
             DirectoryDelta::Everything { at, entries } => self.apply_everything(at, entries),
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Whether a delta comes from a source that went back to an older copy since this replica was brought up to
-    /// date.
+    /// Whether a delta comes from a source that was restored from an older copy since this replica was last
+    /// updated.
     pub fn is_restored_by(&self, delta: &DirectoryDelta) -> bool {
         let DirectoryDelta::Everything { at, .. } = delta else {
             return false;
@@ -107,7 +107,7 @@
         self.at.is_some_and(|held| held.era < at.era)
     }
 
-    /// What a replica at `after` lacks; none if it lacks nothing, or nothing is held here.
+    /// The delta for a replica at `after`; none if it is up to date or this replica is empty.
     pub fn delta_after(&self, after: Option<Revision>) -> Option<DirectoryDelta> {
         let at = self.at?;
         match after {
@@ -128,7 +128,7 @@
         if self.at.is_some_and(|held| at < held) {
             return Vec::new();
         }
-        let begins_anew = self.at.is_none_or(|held| held.era < at.era);
+        let is_new_era = self.at.is_none_or(|held| held.era < at.era);
         let mut missing: BTreeMap<LeafId, ()> =
             self.entries.keys().map(|leaf| (leaf.clone(), ())).collect();
         let mut changes = Vec::new();
@@ -137,7 +137,7 @@
             changes.push(DirectoryChange::Present(entry));
         }
         changes.extend(missing.into_keys().map(DirectoryChange::Gone));
-        if begins_anew {
+        if is_new_era {
             self.log.clear();
             self.log_start = at;
         }
@@ -160,8 +160,8 @@
         made
     }
 
-    /// Holds an entry. Returns whether it says anything else than before; a later revision alone does not, and
-    /// a late word of an earlier run says nothing.
+    /// Stores an entry. Returns whether its content changed. A later revision alone is no change, and a late
+    /// entry of an earlier run is ignored.
     fn put(&mut self, entry: &mut LeafEntry) -> bool {
         let Some(held) = self.entries.get_mut(&entry.leaf) else {
             self.entries.insert(entry.leaf.clone(), entry.clone());
@@ -170,8 +170,8 @@
         if entry.is_of_earlier_run_than(held) {
             return false;
         }
-        entry.keep_from(held);
-        let changed = !entry.says_the_same_as(held);
+        entry.inherit_from(held);
+        let changed = !entry.has_same_content_as(held);
         *held = entry.clone();
         changed
     }
--- a/crates/tansylead-route/src/evacuated_zones.rs
+++ b/crates/tansylead-route/src/evacuated_zones.rs
@@ -1,10 +1,11 @@
-//! The zones that the operator is emptying: their leafs get nothing new.
+//! The zones that the operator is evacuating: their leafs get no new requests.
 //!
-//! The set is small, so it is always passed on whole. Invariant: the revision never goes down, so a
-//! set that arrives late never brings back a zone that was taken out of the set since.
+//! The set is small, so it is always sent whole. Invariant: the revision never decreases, so a set that
+//! arrives late never brings back a zone that was removed from the set since.
 //!
-//! A source that comes back from an older copy may have lost an order. The operator gives it again, and until
-//! then its zone stays out of use: that costs little, and to fill a zone again that is being emptied costs much.
+//! A source that is restored from an older copy may have lost an order. The operator repeats it, and until then
+//! the zone stays out of use: that costs little, while sending requests to a zone that is being evacuated costs
+//! much.
 
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
@@ -12,26 +13,25 @@
 use std::time::Duration;
 use tansylead_types::{Moment, ZoneName};
 
-/// An order that the source has lost is given again within this time.
-const GIVEN_AGAIN: Duration = Duration::from_secs(10);
+/// The operator repeats an order that the source has lost within this time.
+const REPEAT_TIME: Duration = Duration::from_secs(10);
 
-/// The zones that are being emptied, as they were at one revision of the source.
+/// The zones that are being evacuated at one revision of the source.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EvacuatedZones {
     /// Revision at which the source was read.
     pub at: Revision,
-    /// The zones.
+    /// Zones whose leafs get no new requests.
     pub zones: BTreeSet<ZoneName>,
 }
 
 impl EvacuatedZones {
-    /// Whether leafs of a zone get nothing new.
+    /// Whether leafs of a zone get no new requests.
     pub fn contains(&self, zone: &ZoneName) -> bool {
         self.zones.contains(zone)
     }
 
-    /// Takes in a set of the same or a later revision. Returns whether other zones than before are
-    /// being emptied.
+    /// Applies a set of the same or a later revision. Returns whether the evacuated zones changed.
     pub fn apply(&mut self, newer: Self) -> bool {
         if newer.at < self.at {
             return false;
@@ -47,48 +47,47 @@
     }
 }
 
-/// The orders as one daemon acts on them.
+/// The evacuation orders that one daemon follows.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EvacuationOrders {
-    told: EvacuatedZones,
-    /// Zones whose orders the source has lost, and until when those are waited for.
-    kept: BTreeMap<ZoneName, Moment>,
+    reported: EvacuatedZones,
+    /// Zones whose orders the source has lost, and until when the orders still hold.
+    retained: BTreeMap<ZoneName, Moment>,
 }
 
 impl EvacuationOrders {
-    /// The orders as the source tells them.
-    pub fn told(&self) -> &EvacuatedZones {
-        &self.told
+    /// The zones that the source reports.
+    pub fn reported(&self) -> &EvacuatedZones {
+        &self.reported
     }
 
-    /// Zones whose orders the source has lost.
-    pub fn kept(&self) -> impl Iterator<Item = &ZoneName> + std::fmt::Debug {
-        self.kept.keys()
+    /// Zones whose orders the source has lost but that are still followed.
+    pub fn retained(&self) -> impl Iterator<Item = &ZoneName> + std::fmt::Debug {
+        self.retained.keys()
     }
 
-    /// Whether leafs of a zone get nothing new.
+    /// Whether leafs of a zone get no new requests.
     pub fn contains(&self, zone: &ZoneName) -> bool {
-        self.told.contains(zone) || self.kept.contains_key(zone)
+        self.reported.contains(zone) || self.retained.contains_key(zone)
     }
 
-    /// Takes in a set of the same or a later revision. Returns whether other zones than before are being
-    /// emptied.
+    /// Applies a set of the same or a later revision. Returns whether the evacuated zones changed.
     pub fn apply(&mut self, now: Moment, newer: EvacuatedZones) -> bool {
         let before = self.all();
-        if newer.at.era > self.told.at.era {
-            let until = now + GIVEN_AGAIN;
-            let lost = self.told.zones.difference(&newer.zones);
-            self.kept.extend(lost.map(|zone| (zone.clone(), until)));
+        if newer.at.era > self.reported.at.era {
+            let until = now + REPEAT_TIME;
+            let lost = self.reported.zones.difference(&newer.zones);
+            self.retained.extend(lost.map(|zone| (zone.clone(), until)));
         }
-        self.told.apply(newer);
-        let told = &self.told;
-        self.kept
-            .retain(|zone, until| now < *until && !told.contains(zone));
+        self.reported.apply(newer);
+        let reported = &self.reported;
+        self.retained
+            .retain(|zone, until| now < *until && !reported.contains(zone));
         self.all() != before
     }
 
     fn all(&self) -> BTreeSet<ZoneName> {
-        let kept = self.kept.keys();
-        kept.chain(&self.told.zones).cloned().collect()
+        let retained = self.retained.keys();
+        retained.chain(&self.reported.zones).cloned().collect()
     }
 }
--- a/crates/tansylead-route/src/first_read_pace.rs
+++ b/crates/tansylead-route/src/first_read_backoff.rs
@@ -1,7 +1,7 @@
-//! How often a daemon that knows nothing yet asks the source again.
+//! Backoff between the reads of a daemon that has no data from the source yet.
 //!
-//! Nothing can be served before the source has answered, so the wait stays short beside the length
-//! of the outage; it grows, so that many daemons do not burden a source that is down for long.
+//! Nothing can be served before the source has answered, so the wait stays short relative to the
+//! length of the outage. It grows so that many daemons do not overload a source that is down for long.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 const GROWTH: f64 = 1.15;
 /// Longest wait.
 const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Waits vary by this share to either side, so that daemons that start together spread out.
+/// Share by which waits vary in either direction, so that daemons that start together spread out.
 const JITTER: f64 = 0.3;
 
-/// The pace of a daemon's first reads of one topic.
+/// Backoff between a daemon's first reads of one topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FirstReadPace {
+pub struct FirstReadBackoff {
     wait: Duration,
 }
 
-impl Default for FirstReadPace {
+impl Default for FirstReadBackoff {
     fn default() -> Self {
         Self { wait: FIRST_WAIT }
     }
 }
 
-impl FirstReadPace {
-    /// Wait until the next read; `random` lies between 0 and 1.
+impl FirstReadBackoff {
+    /// Returns the wait until the next read and lengthens the one after it; `random` is in 0 to 1.
     pub fn next_wait(&mut self, random: f64) -> Duration {
         let factor = 1.0 + JITTER * (2.0 * random - 1.0);
         let wait = self.wait.mul_f64(factor);
--- a/crates/tansylead-route/src/idle_policy.rs
+++ b/crates/tansylead-route/src/idle_policy.rs
@@ -1,46 +1,47 @@
-//! How long a connection to a leaf is kept while nobody uses it.
+//! How long an idle connection to a leaf is kept.
 //!
-//! An idle connection costs memory, a new one costs the leaf a slot for a moment and the request a
-//! way there and back. So a connection is kept for a few of the usual gaps between requests, if it
-//! is likely to be used by then. Some leafs forget idle connections without a word, and reset what
-//! is sent on them next: then connections are kept for less than the rest that was too long.
+//! An idle connection costs memory; a new one costs the leaf a slot for a moment and the request a
+//! round trip. So a connection is kept for a few times the usual gap between requests, if it is
+//! likely to be used by then. Some leafs drop idle connections without closing them, and reset what
+//! is sent on them next. Connections to such a leaf are kept for less than the idle time after which
+//! one was reset.
 
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Shortest time that a connection is kept, unless the leaf forgets connections earlier.
+/// Shortest time that a connection is kept, unless the leaf drops idle connections earlier.
 const SHORTEST: Duration = Duration::from_secs(1);
 /// Longest time that a connection is kept.
 const LONGEST: Duration = Duration::from_secs(5);
-/// Gaps between requests that a connection is kept for: at random arrivals, 95 in 100 come by then.
+/// Number of mean gaps that a connection is kept for: with random arrivals, 95 in 100 gaps are shorter.
 const GAPS: f64 = 3.0;
-/// Weight of a new gap in the mean.
+/// Weight of a new gap in the moving average.
 const GAP_WEIGHT: f64 = 0.2;
-/// Share of a rest that proved too long that is still allowed.
-const FORGOTTEN_SHARE: f64 = 0.5;
-/// No leaf forgets a connection after a shorter rest: what is lost on one is a lost answer, and what
-/// may not be repeated goes over no other.
-pub const SHORTEST_FORGOTTEN_REST: Duration = Duration::from_millis(250);
-/// For so long a rest that proved too long is remembered.
-const FORGOTTEN_MEMORY: Duration = Duration::from_secs(10);
+/// Connections are kept for this share of the idle time after which one was reset.
+const IDLE_RESET_SHARE: f64 = 0.5;
+/// No leaf drops a connection that was idle for less: a loss after less is a lost answer, and requests
+/// that are not repeatable are sent only on connections that were idle for less.
+pub const SHORTEST_IDLE_RESET: Duration = Duration::from_millis(250);
+/// How long a reset after idle time limits the time that connections are kept.
+const IDLE_RESET_MEMORY: Duration = Duration::from_secs(10);
 
-/// What is known of one leaf's connections at rest.
+/// When idle connections to one leaf are closed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct IdlePolicy {
     last_use: Option<Moment>,
     mean_gap: Option<Duration>,
-    forgets: Option<Forgets>,
+    idle_reset: Option<IdleReset>,
 }
 
-/// The leaf forgot a connection.
+/// The leaf reset a connection that had been idle.
 #[derive(Debug, Clone, Copy)]
-struct Forgets {
-    noticed: Moment,
+struct IdleReset {
+    noticed_at: Moment,
     limit: Duration,
 }
 
 impl IdlePolicy {
-    /// Notes a request to the leaf.
+    /// Records a request to the leaf.
     pub fn on_use(&mut self, now: Moment) {
         if let Some(last) = self.last_use.replace(now) {
             let gap = now.since(last);
@@ -50,26 +51,26 @@
         }
     }
 
-    /// Mean gap between requests to the leaf; none before there were two.
+    /// Mean gap between requests to the leaf; none before the second request.
     pub fn mean_gap(&self) -> Option<Duration> {
         self.mean_gap
     }
 
-    /// Notes that a connection was reset when it was used after resting for `rested`.
-    pub fn on_forgotten(&mut self, now: Moment, rested: Duration) {
-        if rested < SHORTEST_FORGOTTEN_REST {
+    /// Records that a connection was reset when it was used after being idle for `idle`.
+    pub fn on_idle_reset(&mut self, now: Moment, idle: Duration) {
+        if idle < SHORTEST_IDLE_RESET {
             return;
         }
-        let limit = rested.mul_f64(FORGOTTEN_SHARE);
-        let known = self.forgotten_limit(now);
-        self.forgets = Some(Forgets {
-            noticed: now,
+        let limit = idle.mul_f64(IDLE_RESET_SHARE);
+        let known = self.idle_reset_limit(now);
+        self.idle_reset = Some(IdleReset {
+            noticed_at: now,
             limit: known.map_or(limit, |known| known.min(limit)),
         });
     }
 
-    /// How long a connection is kept from now on. Where connections are scarce, a new one may not
-    /// be had.
+    /// How long an idle connection is kept from now on. Where connections are scarce, the leaf may
+    /// refuse a new one, so open ones are kept longest.
     pub fn limit(&self, now: Moment, are_scarce: bool) -> Duration {
         let wanted = self.mean_gap.map_or(SHORTEST, |gap| gap.mul_f64(GAPS));
         let kept = if are_scarce {
@@ -79,13 +80,13 @@
         } else {
             wanted.max(SHORTEST)
         };
-        self.forgotten_limit(now)
+        self.idle_reset_limit(now)
             .map_or(kept, |limit| kept.min(limit))
     }
 
-    fn forgotten_limit(&self, now: Moment) -> Option<Duration> {
-        let forgets = self.forgets?;
-        let is_recent = now.since(forgets.noticed) < FORGOTTEN_MEMORY;
-        is_recent.then_some(forgets.limit)
+    fn idle_reset_limit(&self, now: Moment) -> Option<Duration> {
+        let idle_reset = self.idle_reset?;
+        let is_recent = now.since(idle_reset.noticed_at) < IDLE_RESET_MEMORY;
+        is_recent.then_some(idle_reset.limit)
     }
 }
--- a/crates/tansylead-route/src/leaf.rs
+++ b/crates/tansylead-route/src/leaf.rs
@@ -1,4 +1,4 @@
-//! What the directory says of one leaf, and how far away it is.
+//! A leaf's entry in the directory, and the distance of a leaf from a daemon.
 
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
@@ -7,23 +7,23 @@
 use std::time::Duration;
 use tansylead_types::{LeafId, PlaceName, ServiceName, SoftwareVersion, ZoneName};
 
-/// When a run of a leaf started, by the leaf's own clock: Unix time in milliseconds. Of two runs under one id
-/// the one that started later is the later one, even if the time of day was set between: a run whose clock is
-/// behind is not used until its entry is the only one.
+/// When a run of a leaf started, by the leaf's own clock: Unix time in milliseconds. Of two runs with one id
+/// the one with the greater start is the later one, even if the clock was set back between them: a run whose
+/// clock is behind is not used until its entry is the only one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunStart(pub u64);
 
-/// Names one run of a leaf.
+/// Identifies one run of a leaf.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeafRun {
     /// Identity of the leaf.
     pub leaf: LeafId,
-    /// Tells this run from others under the same id; none if the source does not tell.
+    /// Distinguishes this run from others with the same id; none if the source does not report it.
     pub started: Option<RunStart>,
 }
 
 impl From<LeafId> for LeafRun {
-    /// The only run of a leaf, as far as the source tells.
+    /// The run of a leaf whose starts the source does not report.
     fn from(leaf: LeafId) -> Self {
         Self {
             leaf,
@@ -32,34 +32,34 @@
     }
 }
 
-/// One run of a leaf, as the directory knows it. A start of a leaf may have the id of an earlier one.
+/// Directory entry of one run of a leaf. A restarted leaf may have the id of the earlier run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafEntry {
     /// Identity of the leaf.
     pub leaf: LeafId,
-    /// Tells this run from others under the same id; none if the source does not tell.
+    /// Distinguishes this run from others with the same id; none if the source does not report it.
     pub started: Option<RunStart>,
-    /// Service it belongs to.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens. Addresses are used again by other leafs.
+    /// Address that it listens on. Other leafs may reuse it later.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone that it runs in.
     pub zone: ZoneName,
-    /// Requests it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it takes new requests.
     pub phase: LeafPhase,
-    /// How much longer it is slow after its start, when the entry was written.
+    /// Remaining warm-up time after its start, when the entry was written.
     pub warmup_left: Duration,
-    /// Version of its software, if the source tells one.
+    /// Version of its software, if the source reports one.
     pub version: Option<SoftwareVersion>,
-    /// Revision of the source at which this entry was last changed, as far as the source tells; the earliest
-    /// that was heard of this run.
+    /// Revision of the source at which this entry was last changed, as far as the source reports it. The
+    /// earliest one received for this run is kept.
     pub changed_at: Revision,
 }
 
 impl LeafEntry {
-    /// The run.
+    /// The run that this entry describes.
     pub fn run(&self) -> LeafRun {
         LeafRun {
             leaf: self.leaf.clone(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether both entries are of one run, which keeps its service, address and version.
+    /// Whether both entries are of the same run: a run never changes its service, address or version.
     pub fn is_same_run_as(&self, other: &Self) -> bool {
         self.leaf == other.leaf
             && self.started == other.started
@@ -76,15 +76,15 @@
             && self.version == other.version
     }
 
-    /// Whether this entry is of a run that was over when the other one's began.
+    /// Whether this entry is of a run that had ended when the other one's started.
     pub fn is_of_earlier_run_than(&self, other: &Self) -> bool {
         self.leaf == other.leaf && self.started < other.started
     }
 
-    /// Takes over from an earlier entry of the same run what later ones cannot take back: the revision, so that
-    /// other changes do not make the run look younger than it is, and that it leaves, which an older copy of
-    /// the source may not know.
-    pub fn keep_from(&mut self, held: &Self) {
+    /// Copies from an earlier entry of the same run what must not be undone: the revision, so that other
+    /// changes do not make the run look newer than it is, and the draining phase, which an older copy of the
+    /// source may not contain.
+    pub fn inherit_from(&mut self, held: &Self) {
         if !self.is_same_run_as(held) {
             return;
         }
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Whether two entries say the same of their leaf, whatever the revision.
-    pub fn says_the_same_as(&self, other: &Self) -> bool {
+    /// Whether two entries are equal except for the revision.
+    pub fn has_same_content_as(&self, other: &Self) -> bool {
         let Self {
             leaf,
             started,
@@ -125,7 +125,7 @@
 pub enum LeafPhase {
     /// In service.
     Ready,
-    /// Leaving: gets nothing new.
+    /// Leaving: gets no new requests.
     Draining,
 }
 
@@ -140,7 +140,7 @@
     Remote,
 }
 
-/// Where a leaf stands as seen from one daemon.
+/// Location of a leaf relative to one daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeafLocation {
     /// Distance from the daemon.
@@ -149,7 +149,7 @@
     pub region: Option<PlaceName>,
 }
 
-/// Where a daemon stands among the zones of the deployment.
+/// Location of a daemon among the zones of the deployment.
 #[derive(Debug, Clone)]
 pub struct Locality {
     zone: ZoneName,
@@ -157,7 +157,7 @@
 }
 
 impl Locality {
-    /// The daemon's zone, and the region of each zone.
+    /// Creates it from the daemon's zone and the region of each zone.
     pub fn new(zone: ZoneName, regions: BTreeMap<ZoneName, PlaceName>) -> Self {
         Self { zone, regions }
     }
@@ -177,7 +177,7 @@
         self.regions.values().cloned().collect()
     }
 
-    /// Where a leaf of this zone stands.
+    /// Location of a leaf in this zone.
     pub fn locate(&self, zone: &ZoneName) -> LeafLocation {
         LeafLocation {
             distance: self.distance(zone),
--- a/crates/tansylead-route/src/weights.rs
+++ b/crates/tansylead-route/src/weighted_round_robin.rs
@@ -1,26 +1,26 @@
-//! Shares requests among services in proportion to their weights.
+//! Distributes requests among services in proportion to their weights.
 //!
-//! Smooth weighted round robin: each service gains its weight each turn, the richest is chosen and
-//! pays the sum of all weights. Every stretch of requests is shared almost exactly. Daemons start at
-//! turns of their own: each of a large fleet sees few requests, and if all began alike, the first
-//! services would get too many.
+//! Smooth weighted round robin: on each turn every service gains its weight as credit; the one with
+//! the most credit is chosen and pays the sum of all weights. Any run of consecutive requests is
+//! distributed almost exactly by weight. Each daemon starts at a random turn: in a large fleet each
+//! sees few requests, and if all started at the same turn, the first services would get too many.
 
 use crate::configuration::WeightedService;
 
-/// Credits of the services of one route, in the order of the route.
+/// Weighted round robin among the services of one route; credits are in the order of the route.
 #[derive(Debug, Clone, Default)]
-pub struct WeightedTurns {
+pub struct WeightedRoundRobin {
     credits: Vec<f64>,
-    /// Turns to pass over before the first one.
+    /// Number of turns to skip before the first one.
     skipped: u32,
 }
 
-impl WeightedTurns {
-    /// Most turns that are passed over: the sequence of usual weights, such as tenths or twentieths,
-    /// repeats itself after fewer.
+impl WeightedRoundRobin {
+    /// Upper bound on the skipped turns: with usual weights, such as tenths or twentieths, the sequence
+    /// repeats after fewer.
     const MAXIMUM_SKIPPED: u32 = 100;
 
-    /// Turns that start at a place in their sequence given by a random number.
+    /// Creates a round robin that starts at a random position of its sequence.
     pub fn starting_at(random: u32) -> Self {
         Self {
             credits: Vec::new(),
@@ -46,9 +46,9 @@
             *credit += service.weight;
         }
         let positive = (0..services.len()).filter(|&index| services[index].weight > 0.0);
-        let richest = positive
+        let chosen = positive
             .max_by(|&first, &second| self.credits[first].total_cmp(&self.credits[second]))?;
-        self.credits[richest] -= total;
-        Some(richest)
+        self.credits[chosen] -= total;
+        Some(chosen)
     }
 }
--- a/crates/tansylead-route/tests/choice.rs
+++ b/crates/tansylead-route/tests/choice.rs
@@ -1,12 +1,12 @@
-//! Routes, weights, leaf choice and patience.
+//! Routes, weights, leaf choice and deadlines.
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 use tansylead_route::{
-    BreakerVerdict, CallerLimits, Candidate, Configuration, Distance, HomeRegions, Patience,
-    Policy, Route, RouteTable, ShardSet, Target, WeightedService, WeightedTurns, choose_leaf,
+    AnswerDeadlines, BreakerVerdict, CallerLimits, Candidate, Configuration, Distance, HomeRegions,
+    Policy, Route, RouteTable, ShardSet, Target, WeightedRoundRobin, WeightedService, choose_leaf,
 };
 use tansylead_types::ServiceName;
 
@@ -87,7 +87,7 @@
             weight,
         })
         .collect();
-    let mut turns = WeightedTurns::default();
+    let mut turns = WeightedRoundRobin::default();
     let mut counts = [0_u32; 4];
     for _ in 0..100 {
         counts[turns.next(&services).expect("weights above zero")] += 1;
@@ -109,7 +109,7 @@
     let mut random = StdRng::seed_from_u64(1);
     let mut counts = [0_u32; 3];
     for _ in 0..DAEMONS {
-        let mut turns = WeightedTurns::starting_at(random.random());
+        let mut turns = WeightedRoundRobin::starting_at(random.random());
         for _ in 0..REQUESTS {
             counts[turns.next(&services).expect("weights above zero")] += 1;
         }
@@ -126,7 +126,7 @@
         service: service("a"),
         weight: 0.0,
     }];
-    assert_eq!(WeightedTurns::default().next(&services), None);
+    assert_eq!(WeightedRoundRobin::default().next(&services), None);
 }
 
 const TYPICAL: Duration = Duration::from_millis(30);
@@ -135,7 +135,7 @@
     Candidate {
         verdict: BreakerVerdict::Healthy,
         distance,
-        way: match distance {
+        round_trip: match distance {
             Distance::Zone => Duration::from_micros(200),
             Distance::Region => Duration::from_millis(2),
             Distance::Remote => Duration::from_millis(24),
@@ -231,11 +231,11 @@
 
 #[test]
 fn an_answer_leaves_before_its_objective_and_its_end() {
-    let patience = Patience::new(&policy(), Duration::from_secs(4));
-    assert!(patience.enough < policy().objective);
-    assert_eq!(patience.end, Duration::from_secs(4));
-    let hurried = Patience::new(&policy(), Duration::from_millis(100));
-    assert!(hurried.enough < hurried.end);
+    let deadlines = AnswerDeadlines::new(&policy(), Duration::from_secs(4));
+    assert!(deadlines.partial_from < policy().objective);
+    assert_eq!(deadlines.end, Duration::from_secs(4));
+    let hurried = AnswerDeadlines::new(&policy(), Duration::from_millis(100));
+    assert!(hurried.partial_from < hurried.end);
     assert_eq!(hurried.end, Duration::from_millis(100));
 }
 
--- a/crates/tansylead-route/tests/cold_leaf.rs
+++ b/crates/tansylead-route/tests/cold_leaf.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use std::time::Duration;
-use tansylead_route::{ColdLeafLimit, DaemonCounts, cold_part};
+use tansylead_route::{ColdLeafLimit, DaemonCounts, cold_leaf_share};
 use tansylead_types::{LeafId, Moment, PlaceName};
 
 const REGIONS: [&str; 3] = ["north", "middle", "south"];
@@ -23,8 +23,9 @@
     let leaf = LeafId::new(leaf).expect("valid name");
     let parts = REGIONS.into_iter().flat_map(|region| {
         let leaf = leaf.clone();
-        (0..running)
-            .map(move |rank| cold_part(&leaf, per_second, &place(region), &daemons(seen, rank)))
+        (0..running).map(move |rank| {
+            cold_leaf_share(&leaf, per_second, &place(region), &daemons(seen, rank))
+        })
     });
     parts.sum()
 }
@@ -71,8 +72,8 @@
     ) {
         let mut limit = ColdLeafLimit::default();
         let mut now = Moment::from_millis(5_000);
-        limit.set_part(Some(part));
-        limit.on_told(now, Duration::from_secs(1_000));
+        limit.set_share(Some(part));
+        limit.on_reported_cold(now, Duration::from_secs(1_000));
         let mut sent: Vec<Moment> = Vec::new();
         for (after_millis, requests) in steps {
             now = now + Duration::from_millis(after_millis);
@@ -92,9 +93,9 @@
 fn a_leaf_without_a_bound_or_no_longer_cold_has_room() {
     let mut limit = ColdLeafLimit::default();
     let now = Moment::from_millis(5_000);
-    limit.on_told(now, Duration::from_secs(3));
+    limit.on_reported_cold(now, Duration::from_secs(3));
     assert!(limit.is_cold(now) && limit.has_room(now), "no bound");
-    limit.set_part(Some(0));
+    limit.set_share(Some(0));
     assert!(!limit.has_room(now));
     assert!(limit.has_room(now + Duration::from_secs(3)), "warm again");
 }
--- a/crates/tansylead-route/tests/first_read_pace.rs
+++ b/crates/tansylead-route/tests/first_read_pace.rs
@@ -1,14 +1,14 @@
 //! How often a daemon that knows nothing asks the source again.
 
 use std::time::Duration;
-use tansylead_route::FirstReadPace;
+use tansylead_route::FirstReadBackoff;
 
 /// Middle of the range of random numbers: no jitter.
 const MIDDLE: f64 = 0.5;
 
 #[test]
 fn the_end_of_a_short_outage_is_noticed_within_a_fraction_of_it() {
-    let mut pace = FirstReadPace::default();
+    let mut pace = FirstReadBackoff::default();
     let mut elapsed = Duration::ZERO;
     for _ in 0..30 {
         let wait = pace.next_wait(MIDDLE);
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_long_outage_is_met_with_one_read_a_second() {
-    let mut pace = FirstReadPace::default();
+    let mut pace = FirstReadBackoff::default();
     let waits: Vec<Duration> = (0..40).map(|_| pace.next_wait(MIDDLE)).collect();
     assert!(waits.is_sorted());
     assert_eq!(waits.last(), Some(&Duration::from_secs(1)));
@@ -28,7 +28,7 @@
 
 #[test]
 fn daemons_that_start_together_spread_out() {
-    let early = FirstReadPace::default().next_wait(0.0);
-    let late = FirstReadPace::default().next_wait(1.0);
+    let early = FirstReadBackoff::default().next_wait(0.0);
+    let late = FirstReadBackoff::default().next_wait(1.0);
     assert!(late > early.mul_f64(1.5));
 }
--- a/crates/tansylead-route/tests/leaf_health.rs
+++ b/crates/tansylead-route/tests/leaf_health.rs
@@ -95,7 +95,7 @@
 #[test]
 fn connections_are_given_up_before_a_leaf_forgets_them() {
     let mut policy = used_every(700);
-    policy.on_forgotten(at(0), Duration::from_millis(400));
+    policy.on_idle_reset(at(0), Duration::from_millis(400));
     assert!(policy.limit(at(10), false) < Duration::from_millis(400));
     assert!(policy.limit(at(10), true) < Duration::from_millis(400));
     assert!(policy.limit(at(20_000), false) > Duration::from_secs(1));
@@ -105,7 +105,7 @@
 fn an_answer_lost_on_a_connection_that_hardly_rested_says_nothing_of_rests() {
     // Regression: each lost or spoiled answer kept the leaf's connections from being used again.
     let mut policy = used_every(700);
-    policy.on_forgotten(at(0), Duration::from_millis(20));
+    policy.on_idle_reset(at(0), Duration::from_millis(20));
     assert!(policy.limit(at(10), false) > Duration::from_secs(1));
 }
 
--- a/crates/tansylead-route/tests/query_roots.rs
+++ b/crates/tansylead-route/tests/query_roots.rs
@@ -89,7 +89,7 @@
         is_runner: true,
     };
     assert_eq!(runners.slack_share(), None);
-    assert!(runners.own_kind().is_none());
+    assert!(runners.own_group().is_none());
 }
 
 /// The parts of all daemons in one leaf's connections, of `small` others and `large` roots in each region.
@@ -114,8 +114,8 @@
                     others: counts(&all(small), rank),
                     is_runner,
                 };
-                let kind = runners.own_kind().expect("they differ");
-                let share = shared.share_among(&place(region), kind);
+                let group = runners.own_group().expect("they differ");
+                let share = shared.share_among(&place(region), group);
                 parts.push(if share.is_reserve {
                     0
                 } else {
--- a/crates/tansylead-route/tests/restored_source.rs
+++ b/crates/tansylead-route/tests/restored_source.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tansylead_route::{
-    DepartedLeafs, Era, EvacuatedZones, EvacuationOrders, LeafRun, Listing, Revision, RunStart,
+    Era, EvacuatedZones, EvacuationOrders, LeafRun, Listing, RemovedLeafs, Revision, RunStart,
     Standing,
 };
 use tansylead_types::{LeafId, Moment, ZoneName};
@@ -74,7 +74,7 @@
         leaf: LeafId::new("leaf").expect("valid name"),
         started: Some(RunStart(started)),
     };
-    let mut departed = DepartedLeafs::default();
+    let mut departed = RemovedLeafs::default();
     departed.add(at(0), run(1));
     assert!(departed.contains(at(30_000), &run(1)));
     assert!(!departed.contains(at(30_000), &run(2)));
