--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use tansylead_route::{
     ConnectionShare, DirectoryChange, DirectoryDelta, EvacuatedZones, LeafDirectory, LeafEntry,
-    LeafReport, Service, SharedLeaf, cold_leaf_share,
+    LeafReport, Service, SharedLeaf, cold_share,
 };
 use tansylead_types::{LeafId, PlaceName, ServiceName};
 
@@ -318,7 +318,7 @@
             let entry = leaf.entry();
             // All daemons may have just started: none takes a part before it knows the others.
             let part = |bound| match daemons.are_known {
-                true => cold_leaf_share(&entry.leaf, bound, own_region, &daemons.counts),
+                true => cold_share(&entry.leaf, bound, own_region, &daemons.counts),
                 false => 0,
             };
             leaf.set_cold_part(cold_bound.map(part));
--- a/crates/tansylead-route/src/cold_leaf.rs
+++ b/crates/tansylead-route/src/cold_leaf.rs
@@ -68,7 +68,7 @@
 
 /// Requests per second that a daemon in `own_region` may send to a cold leaf that takes `per_second`
 /// from all daemons together. It is 0 for some where there are more daemons than requests.
-pub fn cold_leaf_share(
+pub fn cold_share(
     leaf: &LeafId,
     per_second: f64,
     own_region: &PlaceName,
--- a/crates/tansylead-route/src/directory.rs
+++ b/crates/tansylead-route/src/directory.rs
@@ -146,7 +146,7 @@
 
     fn record(&mut self, at: Revision, changes: Vec<DirectoryChange>) -> Vec<DirectoryChange> {
         self.at = Some(at);
-        let mut made = Vec::new();
+        let mut applied = Vec::new();
         for mut change in changes {
             let changed = match &mut change {
                 DirectoryChange::Present(entry) => self.put(entry),
@@ -154,10 +154,10 @@
             };
             if changed {
                 self.log_change(at, change.clone());
-                made.push(change);
+                applied.push(change);
             }
         }
-        made
+        applied
     }
 
     /// Stores an entry. Returns whether its content changed. A later revision alone is no change, and a late
--- a/crates/tansylead-route/src/lib.rs
+++ b/crates/tansylead-route/src/lib.rs
@@ -40,7 +40,7 @@
 pub use answer_deadlines::AnswerDeadlines;
 pub use breaker::{Breaker, BreakerVerdict};
 pub use budget::{BudgetSettings, ExtraAttempt, RetryBudget};
-pub use cold_leaf::{ColdLeafLimit, cold_leaf_share};
+pub use cold_leaf::{ColdLeafLimit, cold_share};
 pub use configuration::{
     CallerLimits, Configuration, Policy, Route, Service, ShardSet, Target, WeightedService,
 };
--- a/crates/tansylead-route/src/sliding_count.rs
+++ b/crates/tansylead-route/src/sliding_count.rs
@@ -30,7 +30,7 @@
 
     /// Counts an event.
     pub(crate) fn add(&mut self, now: Moment) {
-        let number = self.number(now);
+        let number = self.bucket_number(now);
         // Slots of the buckets after the newest one still hold counts of an earlier window.
         let new_buckets = number.saturating_sub(self.newest).min(SLOTS as u64);
         for offset in 0..new_buckets {
@@ -42,7 +42,7 @@
 
     /// Number of events in the window that ends now.
     pub(crate) fn sum(&self, now: Moment) -> u32 {
-        let number = self.number(now);
+        let number = self.bucket_number(now);
         let oldest = number.saturating_sub(BUCKETS);
         let stored = self.newest.saturating_sub(BUCKETS)..=self.newest;
         let in_window = stored.filter(|bucket| *bucket >= oldest);
@@ -51,7 +51,7 @@
 
     /// Number of the bucket that contains `now`. Numbers start above the number of buckets, so that
     /// empty buckets never count as recent.
-    fn number(&self, now: Moment) -> u64 {
+    fn bucket_number(&self, now: Moment) -> u64 {
         now.0 / self.bucket.as_micros() as u64 + SLOTS as u64
     }
 }
--- a/crates/tansylead-route/tests/cold_leaf.rs
+++ b/crates/tansylead-route/tests/cold_leaf.rs
@@ -1,8 +1,8 @@
-//! What all daemons together send to a cold leaf.
+//! Limits on what all daemons together send to a cold leaf.
 
 use proptest::prelude::*;
 use std::time::Duration;
-use tansylead_route::{ColdLeafLimit, DaemonCounts, cold_leaf_share};
+use tansylead_route::{ColdLeafLimit, DaemonCounts, cold_share};
 use tansylead_types::{LeafId, Moment, PlaceName};
 
 const REGIONS: [&str; 3] = ["north", "middle", "south"];
@@ -11,23 +11,22 @@
     PlaceName::new(name).expect("valid name")
 }
 
-/// Daemons of three regions, seen by the one of this rank in its region.
+/// Daemons of three regions, `each` in every region, as seen by the one of this rank in its region.
 fn daemons(each: usize, rank: usize) -> DaemonCounts {
     let regions = REGIONS.into_iter().map(place);
     DaemonCounts::new(regions.flat_map(|region| vec![region; each]), rank)
 }
 
-/// The parts of a cold leaf's requests that daemons take, if each sees `seen` daemons a region and
-/// `running` of them run.
+/// Sum of all daemons' shares of a cold leaf's requests, if `running` daemons run in each region and
+/// each of them knows of `seen` in each region.
 fn total(leaf: &str, per_second: f64, running: usize, seen: usize) -> u32 {
     let leaf = LeafId::new(leaf).expect("valid name");
-    let parts = REGIONS.into_iter().flat_map(|region| {
+    let shares = REGIONS.into_iter().flat_map(|region| {
         let leaf = leaf.clone();
-        (0..running).map(move |rank| {
-            cold_leaf_share(&leaf, per_second, &place(region), &daemons(seen, rank))
-        })
+        (0..running)
+            .map(move |rank| cold_share(&leaf, per_second, &place(region), &daemons(seen, rank)))
     });
-    parts.sum()
+    shares.sum()
 }
 
 #[test]
@@ -51,7 +50,7 @@
 
 #[test]
 fn daemons_that_do_not_know_a_quarter_of_the_others_stay_within_the_bound_and_its_slack() {
-    // The users' bound has half as much again and five requests more.
+    // The users' bound is 1.5 times the rate plus five requests.
     for each in [4, 22, 100] {
         for per_second in [5.0, 20.0, 100.0] {
             let total = total("leaf", per_second, each, each - each / 4);
@@ -67,12 +66,12 @@
 proptest! {
     #[test]
     fn a_part_holds_in_every_second(
-        part in 0..30_u32,
+        share in 0..30_u32,
         steps in proptest::collection::vec((0..400_u64, 0..20_u32), 1..200),
     ) {
         let mut limit = ColdLeafLimit::default();
         let mut now = Moment::from_millis(5_000);
-        limit.set_share(Some(part));
+        limit.set_share(Some(share));
         limit.on_reported_cold(now, Duration::from_secs(1_000));
         let mut sent: Vec<Moment> = Vec::new();
         for (after_millis, requests) in steps {
@@ -84,7 +83,7 @@
                 }
             }
             let recent = sent.iter().filter(|at| now.since(**at) <= Duration::from_secs(1));
-            prop_assert!(recent.count() <= part as usize);
+            prop_assert!(recent.count() <= share as usize);
         }
     }
 }
