--- a/crates/tansylead-route/tests/connection_silence.rs
+++ b/crates/tansylead-route/tests/connection_silence.rs
@@ -1,4 +1,4 @@
-//! Kept connections that have gone silent are told from leafs that pause or are slow.
+//! Dead kept connections are distinguished from leafs that pause or are slow.
 
 use std::time::Duration;
 use tansylead_route::{ConnectionSilence, SilenceLimit};
@@ -18,7 +18,7 @@
     );
     assert!(
         silence.on_overdue(at(700), at(600), limit),
-        "no pause lasts so long"
+        "longer than any pause"
     );
 }
 
@@ -45,12 +45,15 @@
     // One leaf of many pauses.
     silence.on_answer(at(120));
     assert!(!silence.on_overdue(at(500), at(100), limit));
-    // Nothing answers any more.
+    // No leaf answers any more.
     assert!(!silence.on_overdue(at(600), at(500), limit));
     assert!(
         !silence.on_overdue(at(850), at(750), limit),
         "two requests prove nothing"
     );
     assert!(silence.on_overdue(at(900), at(800), limit));
-    assert!(!silence.on_overdue(at(950), at(850), limit), "counted anew");
+    assert!(
+        !silence.on_overdue(at(950), at(850), limit),
+        "counting starts over"
+    );
 }
--- a/crates/tansylead-route/tests/directory.rs
+++ b/crates/tansylead-route/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory replica: whatever the order of deltas, replicas that hold a revision agree.
+//! Directory replicas at the same revision agree, whatever the order of deltas.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_a_whole_read_lacks_is_gone() {
+fn leafs_missing_from_a_full_read_are_gone() {
     let mut directory = LeafDirectory::default();
     directory.apply(everything(5, &[1, 2, 3]));
     let changes = directory.apply(everything(9, &[1, 3]));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn changes_that_start_later_than_what_is_held_are_not_taken() {
+fn changes_that_start_after_the_held_revision_are_ignored() {
     let mut directory = LeafDirectory::default();
     directory.apply(everything(5, &[1]));
     let gap = DirectoryDelta::Changes {
@@ -118,7 +118,7 @@
     assert!(directory.apply(present(5, 8, entry(1, 1))).is_empty());
     assert_eq!(held_revision(&directory), Revision::first_era(5));
     assert_eq!(directory.revision(), Some(Revision::first_era(8)));
-    // A change of the same run is one, but the run is as old as it was.
+    // Other content of the same run is a change, but the run keeps its earliest revision.
     let changes = directory.apply(present(8, 9, entry(1, 2)));
     let [DirectoryChange::Present(changed)] = changes.as_slice() else {
         panic!("one change: {changes:?}");
@@ -165,7 +165,7 @@
     Revision::new(Era(era), number)
 }
 
-fn whole(at: Revision, entries: &[LeafEntry]) -> DirectoryDelta {
+fn all_entries(at: Revision, entries: &[LeafEntry]) -> DirectoryDelta {
     DirectoryDelta::Everything {
         at,
         entries: entries.to_vec(),
@@ -175,21 +175,21 @@
 #[test]
 fn a_list_of_a_later_era_counts_although_its_number_is_lower() {
     let mut directory = LeafDirectory::default();
-    directory.apply(whole(in_era(1, 500), &[entry(1, 1), entry(2, 1)]));
-    let restored = whole(in_era(2, 200), &[entry(1, 1), entry(3, 1)]);
+    directory.apply(all_entries(in_era(1, 500), &[entry(1, 1), entry(2, 1)]));
+    let restored = all_entries(in_era(2, 200), &[entry(1, 1), entry(3, 1)]);
     assert!(directory.is_restored_by(&restored));
     let changes = directory.apply(restored);
     assert_eq!(changes.len(), 2, "{changes:?}");
     assert_eq!(directory.revision(), Some(in_era(2, 200)));
-    // What was read before the source went back arrives late.
-    assert!(directory.apply(whole(in_era(1, 501), &[])).is_empty());
+    // A read from before the source was restored arrives late.
+    assert!(directory.apply(all_entries(in_era(1, 501), &[])).is_empty());
     assert_eq!(directory.entries().count(), 2);
 }
 
 #[test]
 fn changes_never_lead_from_one_era_to_another() {
     let mut directory = LeafDirectory::default();
-    directory.apply(whole(in_era(1, 500), &[entry(1, 1)]));
+    directory.apply(all_entries(in_era(1, 500), &[entry(1, 1)]));
     let late = DirectoryDelta::Changes {
         after: in_era(1, 500),
         at: in_era(2, 600),
@@ -199,7 +199,8 @@
 }
 
 proptest! {
-    /// Replicas that held the same revision of an era may have held changes after it that were lost.
+    /// Replicas at the same revision of an era may since have held different changes that the source lost
+    /// when it was restored.
     #[test]
     fn replicas_agree_after_the_source_went_back(
         before in proptest::collection::vec((0..6_u8, 0..3_u32), 1..40),
@@ -221,7 +222,7 @@
         let mut first = LeafDirectory::default();
         let mut second = LeafDirectory::default();
         for directory in [&mut first, &mut second] {
-            directory.apply(whole(in_era(1, 100), &[entry(1, 1)]));
+            directory.apply(all_entries(in_era(1, 100), &[entry(1, 1)]));
         }
         for (directory, seen) in [(&mut first, seen.0), (&mut second, seen.1)] {
             for delta in changes(&before, 1, 100).into_iter().take(seen) {
@@ -229,7 +230,7 @@
             }
         }
         let entries_restored: Vec<LeafEntry> = restored.iter().map(|n| entry(*n, 1)).collect();
-        first.apply(whole(in_era(2, 90), &entries_restored));
+        first.apply(all_entries(in_era(2, 90), &entries_restored));
         for delta in changes(&after, 2, 90) {
             first.apply(delta);
         }
@@ -249,9 +250,9 @@
 }
 
 #[test]
-fn a_late_word_of_an_earlier_run_changes_nothing() {
+fn a_late_entry_of_an_earlier_run_changes_nothing() {
     let mut directory = LeafDirectory::default();
-    directory.apply(whole(in_era(1, 10), &[run(2_000, 4)]));
+    directory.apply(all_entries(in_era(1, 10), &[run(2_000, 4)]));
     let late = DirectoryDelta::Changes {
         after: in_era(1, 10),
         at: in_era(1, 11),
@@ -262,19 +263,19 @@
 }
 
 #[test]
-fn a_run_that_leaves_stays_so_in_an_older_copy_but_a_later_run_does_not() {
+fn a_draining_run_stays_draining_in_an_older_copy_but_a_later_run_does_not() {
     let mut directory = LeafDirectory::default();
     let leaving = LeafEntry {
         phase: LeafPhase::Draining,
         ..run(1_000, 4)
     };
-    directory.apply(whole(in_era(1, 10), std::slice::from_ref(&leaving)));
+    directory.apply(all_entries(in_era(1, 10), std::slice::from_ref(&leaving)));
     assert!(
         directory
-            .apply(whole(in_era(2, 5), &[run(1_000, 4)]))
+            .apply(all_entries(in_era(2, 5), &[run(1_000, 4)]))
             .is_empty()
     );
     assert_eq!(entries(&directory), [leaving]);
-    directory.apply(whole(in_era(2, 6), &[run(3_000, 4)]));
+    directory.apply(all_entries(in_era(2, 6), &[run(3_000, 4)]));
     assert_eq!(entries(&directory), [run(3_000, 4)]);
 }
--- a/crates/tansylead-route/tests/first_read_pace.rs
+++ b/crates/tansylead-route/tests/first_read_pace.rs
@@ -1,17 +1,17 @@
-//! How often a daemon that knows nothing asks the source again.
+//! Backoff between the reads of a daemon that has no data from the source yet.
 
 use std::time::Duration;
 use tansylead_route::FirstReadBackoff;
 
-/// Middle of the range of random numbers: no jitter.
-const MIDDLE: f64 = 0.5;
+/// The random number that gives no jitter.
+const NO_JITTER: f64 = 0.5;
 
 #[test]
 fn the_end_of_a_short_outage_is_noticed_within_a_fraction_of_it() {
-    let mut pace = FirstReadBackoff::default();
+    let mut backoff = FirstReadBackoff::default();
     let mut elapsed = Duration::ZERO;
     for _ in 0..30 {
-        let wait = pace.next_wait(MIDDLE);
+        let wait = backoff.next_wait(NO_JITTER);
         let bound = Duration::from_millis(200) + elapsed / 5;
         assert!(wait <= bound, "{wait:?} after {elapsed:?}");
         elapsed += wait;
@@ -20,8 +20,8 @@
 
 #[test]
 fn a_long_outage_is_met_with_one_read_a_second() {
-    let mut pace = FirstReadBackoff::default();
-    let waits: Vec<Duration> = (0..40).map(|_| pace.next_wait(MIDDLE)).collect();
+    let mut backoff = FirstReadBackoff::default();
+    let waits: Vec<Duration> = (0..40).map(|_| backoff.next_wait(NO_JITTER)).collect();
     assert!(waits.is_sorted());
     assert_eq!(waits.last(), Some(&Duration::from_secs(1)));
 }
--- a/crates/tansylead-route/tests/leaf_health.rs
+++ b/crates/tansylead-route/tests/leaf_health.rs
@@ -1,4 +1,5 @@
-//! What a leaf's answers and connections tell: failures, resets, and rests that were too long.
+//! What a daemon learns from a leaf's answers and connections: failures, resets, slowness, and idle times
+//! after which connections are dropped.
 
 use std::time::Duration;
 use tansylead_route::{ConnectBackoff, FailureRate, IdlePolicy, Slowness};
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn connections_reset_together_lengthen_the_wait_once() {
+fn connections_that_are_reset_together_lengthen_the_wait_once() {
     let mut one = ConnectBackoff::default();
     one.on_reset(at(0), 0.5);
     let mut many = one;
@@ -78,7 +79,7 @@
     assert_eq!(used_every(10).limit(now, false), Duration::from_secs(1));
     let limit = used_every(700).limit(now, false);
     assert!(limit > Duration::from_millis(1_500), "{limit:?}");
-    // Nobody would use it in time.
+    // The next request would come after the longest time that a connection is kept.
     assert_eq!(used_every(9_000).limit(now, false), Duration::from_secs(1));
 }
 
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn connections_are_given_up_before_a_leaf_forgets_them() {
+fn connections_are_closed_before_a_leaf_drops_them() {
     let mut policy = used_every(700);
     policy.on_idle_reset(at(0), Duration::from_millis(400));
     assert!(policy.limit(at(10), false) < Duration::from_millis(400));
@@ -102,8 +103,8 @@
 }
 
 #[test]
-fn an_answer_lost_on_a_connection_that_hardly_rested_says_nothing_of_rests() {
-    // Regression: each lost or spoiled answer kept the leaf's connections from being used again.
+fn an_answer_lost_on_a_connection_that_was_hardly_idle_does_not_shorten_the_idle_time() {
+    // Regression: each lost or corrupted answer kept the leaf's connections from being reused.
     let mut policy = used_every(700);
     policy.on_idle_reset(at(0), Duration::from_millis(20));
     assert!(policy.limit(at(10), false) > Duration::from_secs(1));
@@ -114,7 +115,7 @@
 
 #[test]
 fn answers_made_late_by_one_pause_do_not_make_a_leaf_slow() {
-    // Regression: two overdue answers of one pause sent everything to other regions for 5 s.
+    // Regression: two overdue answers of one pause sent all requests to other regions for 5 s.
     let mut slowness = Slowness::default();
     slowness.on_late(at(300), at(0), 10.0);
     slowness.on_late(at(301), at(160), 5.0);
@@ -129,7 +130,7 @@
     assert!(slowness.factor(at(910), GAP) > 6.0);
     assert!(
         slowness.factor(at(7_000), GAP) < 1.5,
-        "forgotten without answers"
+        "expires without answers"
     );
 }
 
@@ -152,28 +153,28 @@
     let mut slowness = Slowness::default();
     slowness.on_reported(at(1_000), 7.0);
     assert!(slowness.factor(at(1_100), GAP) > 6.0);
-    assert!(slowness.factor(at(8_000), GAP) < 1.5, "forgotten");
+    assert!(slowness.factor(at(8_000), GAP) < 1.5, "expires");
 }
 
 #[test]
-fn a_timely_answer_counts_more_than_what_others_said() {
+fn a_timely_answer_overrides_reports_of_other_daemons() {
     let mut slowness = Slowness::default();
     slowness.on_reported(at(1_000), 7.0);
-    assert!(slowness.on_timely(at(1_100), 1.0), "others should be told");
+    assert!(slowness.on_timely(at(1_100), 1.0), "should be reported");
     assert!(slowness.factor(at(1_110), GAP) < 2.3);
     assert!(!slowness.on_timely(at(1_200), 1.0));
 }
 
 #[test]
-fn slowness_is_told_once_it_is_known() {
+fn slowness_is_reported_once_it_is_known() {
     let mut slowness = Slowness::default();
     assert!(!slowness.on_late(at(200), at(0), 7.0), "may be a pause");
     assert!(slowness.on_late(at(900), at(700), 7.0));
 }
 
 #[test]
-fn reports_of_others_are_no_answers_of_the_leaf() {
-    // A leaf that has answered nobody since a request was sent has stopped, whatever is said of it.
+fn reports_of_other_daemons_do_not_count_as_answers_of_the_leaf() {
+    // A leaf that has not answered since a request was sent counts as stopped, whatever is reported.
     let mut slowness = Slowness::default();
     slowness.on_reported(at(1_000), 7.0);
     assert_eq!(slowness.answered_at(), Moment::default());
--- a/crates/tansylead-route/tests/leaf_report.rs
+++ b/crates/tansylead-route/tests/leaf_report.rs
@@ -1,11 +1,11 @@
-//! Words about silent leafs: they save others a wait, and a wrong one does little harm.
+//! Reports about silent leafs spare other daemons a wait, and a wrong one does little harm.
 
 use proptest::prelude::*;
 use std::time::Duration;
 use tansylead_route::ReportedSilence;
 use tansylead_types::Moment;
 
-/// The longest that a report may keep requests away without being said again.
+/// Longest time for which a report that is not repeated may keep requests away.
 const LONGEST_EFFECT: Duration = Duration::from_millis(500);
 
 fn at(millis: u64) -> Moment {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_word_of_silence_holds_until_the_leaf_is_said_to_answer() {
+fn a_report_of_silence_holds_until_the_leaf_is_reported_to_answer() {
     let mut silence = ReportedSilence::default();
     silence.on_silent(at(1_000), at(940), at(900));
     assert!(silence.is_silent(at(1_100)));
@@ -27,30 +27,34 @@
     silence.on_silent(at(1_000), at(940), at(950));
     assert!(!silence.is_silent(at(1_000)), "it has answered since");
     silence.on_silent(at(1_000), at(940), at(900));
-    assert!(!silence.on_answer(), "others told, so others tell");
+    assert!(
+        !silence.on_answer(),
+        "the daemon that reported the silence reports its end"
+    );
     assert!(!silence.is_silent(at(1_001)));
 }
 
 #[test]
-fn a_silence_is_told_once_and_its_end_by_who_told_it() {
-    let mut teller = ReportedSilence::default();
-    assert!(teller.on_found_silent(at(1_000)));
-    assert!(teller.on_answer());
-    assert!(!teller.on_answer());
-    let mut hearer = ReportedSilence::default();
-    hearer.on_silent(at(1_001), at(940), at(0));
-    assert!(!hearer.on_found_silent(at(1_010)));
-    assert!(!hearer.on_answer());
+fn a_silence_is_reported_once_and_its_end_by_the_daemon_that_reported_it() {
+    let mut reporter = ReportedSilence::default();
+    assert!(reporter.on_found_silent(at(1_000)));
+    assert!(reporter.on_answer());
+    assert!(!reporter.on_answer());
+    let mut receiver = ReportedSilence::default();
+    receiver.on_silent(at(1_001), at(940), at(0));
+    assert!(!receiver.on_found_silent(at(1_010)));
+    assert!(!receiver.on_answer());
 }
 
 #[test]
-fn who_told_a_silence_tells_it_again_while_it_lasts() {
-    let mut teller = ReportedSilence::default();
-    assert!(teller.on_found_silent(at(1_000)));
-    assert!(teller.on_found_silent(at(1_200)));
+fn the_daemon_that_reported_a_silence_repeats_the_report_while_it_lasts() {
+    let mut reporter = ReportedSilence::default();
+    assert!(reporter.on_found_silent(at(1_000)));
+    assert!(reporter.on_found_silent(at(1_200)));
 }
 
-/// A report, as it may come in any order, late, more than once, or from a daemon that is wrong.
+/// An event at one daemon. Reports may arrive in any order, late, more than once, or from a daemon that is
+/// wrong.
 #[derive(Debug, Clone)]
 enum Step {
     Silent { since_before: u64 },
@@ -76,19 +80,19 @@
         let mut silence = ReportedSilence::default();
         let mut now = at(20_000);
         let mut answered = Moment::default();
-        let mut last_word = now;
+        let mut last_report = now;
         for (gap, step) in steps {
             now = now + Duration::from_millis(gap);
             match step {
                 Step::Silent { since_before } => {
                     let since = now - Duration::from_millis(since_before);
                     silence.on_silent(now, since, answered);
-                    last_word = now;
+                    last_report = now;
                 }
                 Step::Answering => silence.on_answering(),
                 Step::FoundSilent => {
                     silence.on_found_silent(now);
-                    last_word = now;
+                    last_report = now;
                 }
                 Step::Answer => {
                     silence.on_answer();
@@ -96,7 +100,7 @@
                     prop_assert!(!silence.is_silent(now), "it has just answered");
                 }
             }
-            prop_assert!(!silence.is_silent(last_word + LONGEST_EFFECT));
+            prop_assert!(!silence.is_silent(last_report + LONGEST_EFFECT));
         }
     }
 }
--- a/crates/tansylead-route/tests/listing.rs
+++ b/crates/tansylead-route/tests/listing.rs
@@ -1,4 +1,4 @@
-//! What a missing entry says of a leaf.
+//! How a leaf may be used whose entry is missing.
 
 use std::time::Duration;
 use tansylead_route::{Listing, Standing};
@@ -19,15 +19,15 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_while_the_source_was_away_counts_as_there_until_it_is_due_back() {
-    let lapsed = missing(true);
-    assert_eq!(standing(lapsed, 0), Standing::Regular);
-    assert_eq!(standing(lapsed, 2_000), Standing::Regular);
-    assert_eq!(standing(lapsed, 2_500), Standing::Gone);
+fn an_entry_that_expired_while_the_source_was_away_counts_as_listed_until_it_is_due_back() {
+    let expired = missing(true);
+    assert_eq!(standing(expired, 0), Standing::Regular);
+    assert_eq!(standing(expired, 2_000), Standing::Regular);
+    assert_eq!(standing(expired, 2_500), Standing::Gone);
 }
 
 #[test]
-fn an_entry_that_goes_without_a_word_leaves_a_last_resort() {
+fn a_leaf_whose_entry_disappears_unannounced_is_a_last_resort() {
     let gone = missing(false);
     assert_eq!(standing(gone, 0), Standing::LastResort);
     assert_eq!(standing(gone, 1_199), Standing::LastResort);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_entry_that_is_back_is_like_any_other() {
+fn an_entry_that_is_back_counts_as_listed() {
     assert_eq!(missing(true).after_present(), Listing::Listed);
     assert_eq!(missing(false).after_present(), Listing::Listed);
 }
--- a/crates/tansylead-route/tests/restored_source.rs
+++ b/crates/tansylead-route/tests/restored_source.rs
@@ -1,4 +1,4 @@
-//! What is kept of zones being emptied and of leafs that went, when the source comes back from an older copy.
+//! Evacuation orders and removed leafs that daemons remember when the source is restored from an older copy.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -36,13 +36,13 @@
     );
     assert!(orders.contains(&zone("north")));
     orders.apply(at(2_000), zones(2, 310, &["north"]));
-    // It is taken back in the new history.
+    // The order is revoked in the new era.
     assert!(orders.apply(at(3_000), zones(2, 320, &[])));
     assert!(!orders.contains(&zone("north")));
 }
 
 #[test]
-fn an_order_that_is_not_given_again_ends() {
+fn an_order_that_is_not_repeated_expires() {
     let mut orders = EvacuationOrders::default();
     orders.apply(at(0), zones(1, 500, &["north"]));
     orders.apply(at(10), zones(2, 300, &[]));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_order_taken_back_within_an_era_ends_at_once() {
+fn an_order_that_is_revoked_within_an_era_ends_at_once() {
     let mut orders = EvacuationOrders::default();
     orders.apply(at(0), zones(1, 500, &["north"]));
     assert!(orders.apply(at(10), zones(1, 501, &[])));
@@ -69,23 +69,23 @@
 }
 
 #[test]
-fn only_the_run_that_went_is_remembered_and_not_for_ever() {
+fn only_the_removed_run_is_remembered_and_only_for_a_while() {
     let run = |started| LeafRun {
         leaf: LeafId::new("leaf").expect("valid name"),
         started: Some(RunStart(started)),
     };
-    let mut departed = RemovedLeafs::default();
-    departed.add(at(0), run(1));
-    assert!(departed.contains(at(30_000), &run(1)));
-    assert!(!departed.contains(at(30_000), &run(2)));
-    assert!(!departed.contains(at(60_000), &run(1)));
-    departed.add(at(61_000), run(2));
-    departed.remove(&run(2));
-    assert!(!departed.contains(at(61_000), &run(2)));
+    let mut removed = RemovedLeafs::default();
+    removed.add(at(0), run(1));
+    assert!(removed.contains(at(30_000), &run(1)));
+    assert!(!removed.contains(at(30_000), &run(2)));
+    assert!(!removed.contains(at(60_000), &run(1)));
+    removed.add(at(61_000), run(2));
+    removed.remove(&run(2));
+    assert!(!removed.contains(at(61_000), &run(2)));
 }
 
 #[test]
-fn an_entry_that_only_a_copy_brings_back_is_the_last_resort_until_it_has_stood_for_long() {
+fn an_entry_that_only_an_older_copy_lists_is_a_last_resort_until_it_has_existed_for_long() {
     let listing = Listing::Doubtful { since: at(0) };
     assert_eq!(
         listing.standing(at(5_000), Duration::ZERO),
