--- a/crates/tansylead-route/tests/breaker.rs
+++ b/crates/tansylead-route/tests/breaker.rs
@@ -1,4 +1,4 @@
-//! The breaker: short pauses, lasting silence, probes.
+//! Circuit breaker: short pauses, lasting silence, probes.
 
 use std::time::Duration;
 use tansylead_route::{Breaker, BreakerVerdict};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn any_answer_ends_a_first_pause() {
+fn any_answer_after_a_first_failure_allows_a_probe() {
     let mut breaker = Breaker::default();
     breaker.on_overdue(at(50), at(0), DELAY);
     breaker.on_answer(at(60), at(0), false);
@@ -59,11 +59,11 @@
     breaker.on_overdue(now, at(0), DELAY);
     let mut last = Duration::ZERO;
     for _ in 0..4 {
-        let asked = now;
+        let waited_from = now;
         while breaker.verdict(now) != BreakerVerdict::Probe {
             now = now + Duration::from_millis(1);
         }
-        let wait = now.since(asked);
+        let wait = now.since(waited_from);
         assert!(wait >= last, "{wait:?} after {last:?}");
         last = wait;
         breaker.on_sent(now);
--- a/crates/tansylead-route/tests/budget.rs
+++ b/crates/tansylead-route/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of extra attempts holds for any window and any number of daemons.
+//! The retry budget bounds extra attempts in any window and with any number of daemons.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -60,7 +60,7 @@
             }
             let from = now - WINDOW;
             let until = now + Duration::from_micros(1);
-            // The requests of the window, or of the one before, whichever are more.
+            // The greater of the requests in this window and in the one before.
             let inside = count(&requests, from, until);
             let before = count(&requests, from - WINDOW, from);
             let allowed = SETTINGS.ratio * f64::from(inside.max(before)) + SETTINGS.slack;
--- a/crates/tansylead-route/tests/choice.rs
+++ b/crates/tansylead-route/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Routes, weights, leaf choice and deadlines.
+//! Route lookup, weights, leaf choice and answer deadlines.
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::BTreeMap;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn weights_are_kept_in_every_stretch() {
+fn requests_are_distributed_by_weight() {
     let weights = [5.0, 3.0, 2.0, 0.0];
     let names = ["a", "b", "c", "d"];
     let services: Vec<WeightedService> = names
@@ -87,18 +87,18 @@
             weight,
         })
         .collect();
-    let mut turns = WeightedRoundRobin::default();
+    let mut round_robin = WeightedRoundRobin::default();
     let mut counts = [0_u32; 4];
     for _ in 0..100 {
-        counts[turns.next(&services).expect("weights above zero")] += 1;
+        counts[round_robin.next(&services).expect("weights above zero")] += 1;
     }
     assert_eq!(counts, [50, 30, 20, 0]);
 }
 
 #[test]
 fn a_fleet_whose_daemons_see_few_requests_each_shares_them_by_weight() {
-    // Regression: all daemons began with the same turns, and three requests to each of them left the
-    // lightest service without any.
+    // Regression: all daemons started at the same turn, and with three requests each the service with
+    // the lowest weight got none.
     const DAEMONS: u32 = 65;
     const REQUESTS: u32 = 3;
     let weights = [0.5, 0.3, 0.2];
@@ -109,9 +109,9 @@
     let mut random = StdRng::seed_from_u64(1);
     let mut counts = [0_u32; 3];
     for _ in 0..DAEMONS {
-        let mut turns = WeightedRoundRobin::starting_at(random.random());
+        let mut round_robin = WeightedRoundRobin::starting_at(random.random());
         for _ in 0..REQUESTS {
-            counts[turns.next(&services).expect("weights above zero")] += 1;
+            counts[round_robin.next(&services).expect("weights above zero")] += 1;
         }
     }
     for (count, weight) in counts.into_iter().zip(weights) {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn no_weight_no_turn() {
+fn services_without_weight_get_no_requests() {
     let services = vec![WeightedService {
         service: service("a"),
         weight: 0.0,
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn near_leafs_go_first() {
+fn near_leafs_are_preferred() {
     let candidates = [
         candidate(Distance::Remote),
         candidate(Distance::Zone),
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_sound_remote_leaf_goes_before_an_avoided_near_one() {
+fn a_healthy_remote_leaf_is_preferred_to_an_avoided_near_one() {
     let mut near = candidate(Distance::Zone);
     near.verdict = BreakerVerdict::Avoid;
     let candidates = [near, candidate(Distance::Remote)];
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_full_near_leaf_yields_to_a_free_remote_one() {
+fn a_free_remote_leaf_is_preferred_to_a_full_near_one() {
     let mut near = candidate(Distance::Zone);
     near.in_flight = near.limit;
     let candidates = [near, candidate(Distance::Remote)];
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_slow_near_leaf_yields_to_a_remote_one() {
+fn a_remote_leaf_is_preferred_to_a_slow_near_one() {
     let mut near = candidate(Distance::Zone);
     near.slowness = 4.0;
     let candidates = [near, candidate(Distance::Remote)];
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn among_all_slow_leafs_near_ones_still_go_first() {
+fn if_all_leafs_are_slow_near_ones_are_still_preferred() {
     let mut candidates = [candidate(Distance::Zone), candidate(Distance::Remote)];
     for candidate in &mut candidates {
         candidate.slowness = 4.0;
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn load_counts_among_equals() {
+fn of_two_equal_leafs_the_less_loaded_one_is_chosen() {
     let mut busy = candidate(Distance::Zone);
     busy.in_flight = 2;
     let candidates = [busy, candidate(Distance::Zone)];
@@ -230,18 +230,18 @@
 }
 
 #[test]
-fn an_answer_leaves_before_its_objective_and_its_end() {
+fn a_partial_answer_is_sent_before_the_objective_and_before_the_end() {
     let deadlines = AnswerDeadlines::new(&policy(), Duration::from_secs(4));
     assert!(deadlines.partial_from < policy().objective);
     assert_eq!(deadlines.end, Duration::from_secs(4));
-    let hurried = AnswerDeadlines::new(&policy(), Duration::from_millis(100));
-    assert!(hurried.partial_from < hurried.end);
-    assert_eq!(hurried.end, Duration::from_millis(100));
+    let short = AnswerDeadlines::new(&policy(), Duration::from_millis(100));
+    assert!(short.partial_from < short.end);
+    assert_eq!(short.end, Duration::from_millis(100));
 }
 
 #[test]
-fn a_leaf_that_fails_many_requests_gives_way_to_a_farther_one() {
-    // Regression: a leaf that failed fast looked like the best of all.
+fn a_remote_leaf_is_preferred_to_a_near_one_that_fails_many_requests() {
+    // Regression: a leaf that failed requests fast looked like the best one.
     let mut candidates = [candidate(Distance::Zone), candidate(Distance::Remote)];
     candidates[0].failure_rate = 0.05;
     assert_eq!(choose_leaf(&candidates, TYPICAL, 0), Some(0));
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_leaf_that_resets_connections_is_used_over_those_that_are_open() {
+fn a_leaf_that_resets_connections_is_used_only_on_open_ones() {
     let mut candidates = [candidate(Distance::Zone), candidate(Distance::Remote)];
     candidates[0].resets_connections = true;
     assert_eq!(choose_leaf(&candidates, TYPICAL, 0), Some(0));
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_reserve_is_used_only_if_no_other_leaf_is_sound() {
+fn a_reserve_is_used_only_if_no_other_leaf_is_healthy() {
     let mut candidates = [candidate(Distance::Zone), candidate(Distance::Remote)];
     candidates[0].is_reserve = true;
     assert_eq!(choose_leaf(&candidates, TYPICAL, 0), Some(1));
--- a/crates/tansylead-route/tests/connection_share.rs
+++ b/crates/tansylead-route/tests/connection_share.rs
@@ -1,4 +1,4 @@
-//! Shares of a leaf's connections.
+//! How a leaf's connections are divided among daemons.
 
 use std::collections::BTreeSet;
 use tansylead_route::{ConnectionShare, DaemonCounts, SharedLeaf};
@@ -14,13 +14,13 @@
 
 const REGIONS: [&str; 3] = ["north", "middle", "south"];
 
-/// Daemons of three regions, as many in each, seen by one of this rank in its region.
+/// Daemons of three regions, `each` in every region, as seen by one of this rank in its region.
 fn daemons(each: usize, rank: usize) -> DaemonCounts {
     let regions = REGIONS.into_iter().map(place);
     DaemonCounts::new(regions.flat_map(|region| vec![region; each]), rank)
 }
 
-/// Shares of one leaf in the north for the daemons of each region; 0 for a reserve.
+/// Each daemon's region and its connections to a leaf in the north; 0 if the leaf is only a reserve.
 fn shares(maximum: u32, each: usize, service_regions: &BTreeSet<PlaceName>) -> Vec<(String, u32)> {
     let region = place("north");
     let id = LeafId::new("leaf").expect("valid name");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_daemon_without_a_part_keeps_the_leaf_as_a_reserve() {
+fn a_daemon_without_a_whole_connection_keeps_the_leaf_as_a_reserve() {
     let region = place("north");
     let everywhere = places(&REGIONS);
     let id = LeafId::new("leaf").expect("valid name");
--- a/crates/tansylead-route/tests/query_roots.rs
+++ b/crates/tansylead-route/tests/query_roots.rs
@@ -1,4 +1,4 @@
-//! Who runs queries over shards.
+//! Which daemons run queries over shards, and how they divide extra attempts and connections.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn one_large_machine_takes_nothing_over() {
+fn a_single_large_machine_does_not_become_a_root() {
     assert!(query_roots(&candidates(&[120, 120, 120, 500])).is_empty());
 }
 
@@ -54,7 +54,7 @@
     PlaceName::new(name).expect("valid name")
 }
 
-/// Counts of daemons in regions, seen by the one of this rank in its own.
+/// Counts of daemons in regions, as seen by the one of this rank in its own region.
 fn counts(regions: &[(&str, usize)], rank: usize) -> DaemonCounts {
     let daemons = regions
         .iter()
@@ -62,8 +62,8 @@
     DaemonCounts::new(daemons, rank)
 }
 
-/// Two regions with four roots each, and one whose three daemons are alike.
-fn sees(is_runner: bool) -> QueryRunners {
+/// Two regions with four roots each and one whose three daemons are alike, as seen by one daemon.
+fn seen_by(is_runner: bool) -> QueryRunners {
     QueryRunners {
         runners: counts(&[("a", 4), ("b", 4), ("c", 3)], 0),
         others: counts(&[("a", 18), ("b", 17)], 0),
@@ -73,16 +73,16 @@
 
 #[test]
 fn parts_of_the_slack_add_up_to_no_more_than_all_of_it() {
-    let sees = |is_runner| sees(is_runner).slack_share().expect("they differ");
-    let total = sees(true) * 11.0 + sees(false) * 35.0;
+    let slack_share = |is_runner| seen_by(is_runner).slack_share().expect("they differ");
+    let total = slack_share(true) * 11.0 + slack_share(false) * 35.0;
     assert!(total <= 1.0 + 1e-9, "{total}");
     let equal = 1.0 / 46.0;
-    assert!((sees(true) - 0.75 / 11.0).abs() < 1e-9);
-    assert!(sees(true) > 3.0 * equal && sees(false) < equal);
+    assert!((slack_share(true) - 0.75 / 11.0).abs() < 1e-9);
+    assert!(slack_share(true) > 3.0 * equal && slack_share(false) < equal);
 }
 
 #[test]
-fn where_all_daemons_run_queries_no_one_has_a_part_of_its_own() {
+fn where_all_daemons_run_queries_there_are_no_groups() {
     let runners = QueryRunners {
         runners: counts(&[("a", 9)], 2),
         others: DaemonCounts::default(),
@@ -92,8 +92,13 @@
     assert!(runners.own_group().is_none());
 }
 
-/// The parts of all daemons in one leaf's connections, of `small` others and `large` roots in each region.
-fn parts(small: usize, large: usize, maximum_connections: u32) -> (Vec<u32>, Vec<u32>) {
+/// Connections of each daemon to one leaf, for the roots and for the others, with `large` roots and `small`
+/// others in each region.
+fn connections_by_role(
+    small: usize,
+    large: usize,
+    maximum_connections: u32,
+) -> (Vec<u32>, Vec<u32>) {
     let regions = ["a", "b", "c"];
     let all = |count| regions.map(|region| (region, count));
     let service_regions = regions.iter().map(|region| place(region)).collect();
@@ -105,8 +110,8 @@
         region: Some(&home),
         service_regions: &service_regions,
     };
-    let of_kind = |is_runner: bool, count: usize| {
-        let mut parts = Vec::new();
+    let of_role = |is_runner: bool, count: usize| {
+        let mut connections = Vec::new();
         for region in regions {
             for rank in 0..count {
                 let runners = QueryRunners {
@@ -116,22 +121,22 @@
                 };
                 let group = runners.own_group().expect("they differ");
                 let share = shared.share_among(&place(region), group);
-                parts.push(if share.is_reserve {
+                connections.push(if share.is_reserve {
                     0
                 } else {
                     share.connections
                 });
             }
         }
-        parts
+        connections
     };
-    (of_kind(true, large), of_kind(false, small))
+    (of_role(true, large), of_role(false, small))
 }
 
 #[test]
-fn each_root_has_whole_connections_to_a_leaf_that_bears_fewer_than_there_are_daemons() {
+fn each_root_has_a_whole_connection_to_a_leaf_that_accepts_fewer_than_there_are_daemons() {
     for (small, large) in [(308, 20), (640, 20)] {
-        let (roots, others) = parts(small, large, 195);
+        let (roots, others) = connections_by_role(small, large, 195);
         assert!(
             roots.iter().all(|connections| *connections >= 1),
             "{roots:?}"
--- a/crates/tansylead-route/tests/records.rs
+++ b/crates/tansylead-route/tests/records.rs
@@ -1,4 +1,4 @@
-//! Merging keeps the greatest records, equal ones included, in falling order.
+//! Merging keeps the greatest records, including duplicates, in descending order.
 
 use proptest::prelude::*;
 use tansylead_route::{RECORD_BYTES, TopRecords};
