--- a/crates/tansylead-cluster/src/claims/adopted_view.rs
+++ b/crates/tansylead-cluster/src/claims/adopted_view.rs
@@ -1,4 +1,5 @@
-//! The view that a claim member has adopted: its progress in it, and what it asks of the others.
+//! The view that a claim member has adopted, its progress in it, and the requests it sends to the
+//! other members.
 
 use super::lease::QuorumLease;
 use super::message::{ClaimKey, ClaimRequest, ClaimRequestBody};
@@ -14,7 +15,7 @@
     pub(super) transfer: Transfer,
     pub(super) next_heartbeat: Moment,
     pub(super) next_copy: Moment,
-    /// Members of this view that have fetched all they need from this daemon.
+    /// Members of this view that have copied every claim they need from this daemon.
     pub(super) handed_over: BTreeSet<InstanceId>,
 }
 
@@ -45,29 +46,30 @@
     }
 
     /// Heartbeats to the other members.
-    pub(super) fn heartbeats(&self, me: InstanceId, now: Moment) -> Vec<ClaimRequest> {
+    pub(super) fn heartbeats(&self, own_instance: InstanceId, now: Moment) -> Vec<ClaimRequest> {
         let members = self.view.members.iter();
-        let others = members.filter(|member| member.instance != me);
+        let others = members.filter(|member| member.instance != own_instance);
         others
             .map(|member| ClaimRequest {
                 epoch: self.view.epoch,
-                from: me,
+                from: own_instance,
                 to: member.instance,
                 body: ClaimRequestBody::Heartbeat { sent: now },
             })
             .collect()
     }
 
-    /// Requests for the pages that are still to be copied.
-    pub(super) fn copy_requests(&self, me: InstanceId) -> Vec<ClaimRequest> {
-        let unfinished = self.transfer.unfinished().into_iter();
-        unfinished
-            .map(|(source, after)| copy_request(me, &self.view, source, after))
+    /// Requests for the next page of each source that is not fully copied.
+    pub(super) fn copy_requests(&self, own_instance: InstanceId) -> Vec<ClaimRequest> {
+        let pending = self.transfer.pending_sources().into_iter();
+        pending
+            .map(|(source, after)| copy_request(own_instance, &self.view, source, after))
             .collect()
     }
 }
 
-/// A view's members often ask for claims before this daemon has learned the view.
+/// Handovers for a view that this daemon has not learned yet: its members often ask for claims
+/// before that.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EarlyHandover {
     epoch: u64,
@@ -75,18 +77,18 @@
 }
 
 impl EarlyHandover {
-    /// Notes that a member of a view has fetched all it needs.
-    pub(super) fn note(&mut self, epoch: u64, asker: InstanceId) {
+    /// Records that a member of a view has copied every claim it needs.
+    pub(super) fn record(&mut self, epoch: u64, requester: InstanceId) {
         if epoch > self.epoch {
             self.epoch = epoch;
             self.handed_over.clear();
         }
         if epoch == self.epoch {
-            self.handed_over.insert(asker);
+            self.handed_over.insert(requester);
         }
     }
 
-    /// The members of a view that have; forgotten here.
+    /// Removes and returns the members of a view that have copied everything.
     pub(super) fn take(&mut self, epoch: u64) -> BTreeSet<InstanceId> {
         if epoch == self.epoch {
             std::mem::take(&mut self.handed_over)
@@ -96,9 +98,9 @@
     }
 }
 
-/// The request for a page of a source's claims.
+/// Builds the request for a page of a source's claims.
 pub(super) fn copy_request(
-    me: InstanceId,
+    own_instance: InstanceId,
     view: &ClaimView,
     source: InstanceId,
     after: Option<ClaimKey>,
@@ -109,7 +111,7 @@
     };
     ClaimRequest {
         epoch: view.epoch,
-        from: me,
+        from: own_instance,
         to: source,
         body,
     }
--- a/crates/tansylead-cluster/src/claims/answers.rs
+++ b/crates/tansylead-cluster/src/claims/answers.rs
@@ -1,6 +1,6 @@
-//! What became of each key at this root, until its expiry: under way, answered, not run, or no
-//! longer known. A key sent again gets the same answer while that is held. Answers are bounded in
-//! bytes; the oldest are dropped first, and their keys are then truthfully `Unknown`.
+//! Status of each key at this root until its expiry: in progress, answered, not run, or no longer
+//! known. A repeated key gets the same answer while it is cached. Answers are bounded in bytes;
+//! the oldest are evicted first, and the status of their keys becomes `Unknown`.
 
 use super::expiry::add_millis;
 use super::message::{ClaimId, ClaimKey};
@@ -8,36 +8,36 @@
 use std::collections::{BTreeMap, VecDeque};
 use tansylead_types::{QueryAnswer, WallTime};
 
-/// Bytes counted for an answer besides its results and missing shards.
+/// Bytes counted for an answer in addition to its results and missing shards.
 const ANSWER_OVERHEAD_BYTES: usize = 256;
-/// Bytes counted for each result or missing shard besides its text.
+/// Bytes counted for each result or missing shard in addition to its text.
 const SHARD_OVERHEAD_BYTES: usize = 64;
 
-/// What became of a key at this root.
+/// Status of a key at this root.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AnswerStatus {
-    /// A claim or a dispatch is under way.
+    /// A claim or a dispatch is in progress.
     InProgress,
     /// It ran, or may have run, and this was the answer.
     Finished(Box<QueryAnswer>),
-    /// It was not and will not be dispatched under this claim or an earlier attempt; if a member
+    /// It was not and will never be dispatched under this claim or an earlier attempt; if a member
     /// still holds the claim, release it again.
     NotRun {
         /// The last attempt.
         claim: ClaimId,
     },
-    /// This root knows nothing, or holds the answer no longer: it may have run.
+    /// This root does not know the key or no longer holds the answer: it may have run.
     Unknown,
 }
 
 /// Result of [`AnswerCache::begin`].
 #[derive(Debug, Clone, PartialEq)]
-pub enum Begin {
-    /// New here: ask for a claim with this id.
+pub enum BeginOutcome {
+    /// The key is new here: request a claim with this id.
     Claim(ClaimId),
-    /// Sent before; do not claim. Never `NotRun`.
+    /// The key was sent before; do not claim it. Never `NotRun`.
     Known(AnswerStatus),
-    /// Too many keys are remembered: refuse as `not_run`.
+    /// The cache holds too many keys: refuse as `not_run`.
     Full,
 }
 
@@ -48,7 +48,7 @@
     status: AnswerStatus,
 }
 
-/// Keys and answers of one root.
+/// Statuses and answers of the keys sent to one root.
 #[derive(Debug, Clone)]
 pub struct AnswerCache {
     settings: ClaimSettings,
@@ -62,7 +62,7 @@
 }
 
 impl AnswerCache {
-    /// An empty cache that keeps at most so many bytes of answers and so many keys.
+    /// An empty cache that holds at most `maximum_bytes` of answers and `maximum_keys` keys.
     pub fn new(settings: ClaimSettings, maximum_bytes: usize, maximum_keys: usize) -> Self {
         Self {
             settings,
@@ -75,22 +75,22 @@
         }
     }
 
-    /// Bytes of answers held.
+    /// Bytes of cached answers.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Keys remembered.
+    /// Number of keys held.
     pub fn keys(&self) -> usize {
         self.entries.len()
     }
 
-    /// Starts a key unless it is known. A key that ended as `not_run` may start again.
-    pub fn begin(&mut self, key: &ClaimKey, expires: WallTime, wall: WallTime) -> Begin {
+    /// Starts a key unless it is known. A key that ended as `not_run` may be started again.
+    pub fn begin(&mut self, key: &ClaimKey, expires: WallTime, wall: WallTime) -> BeginOutcome {
         if let Some(entry) = self.entries.get_mut(key) {
             if add_millis(entry.expires, self.settings.clock_skew) > wall {
                 let AnswerStatus::NotRun { claim } = entry.status else {
-                    return Begin::Known(entry.status.clone());
+                    return BeginOutcome::Known(entry.status.clone());
                 };
                 entry.claim = ClaimId {
                     sequence: claim.sequence,
@@ -98,7 +98,7 @@
                 };
                 entry.expires = entry.expires.max(expires);
                 entry.status = AnswerStatus::InProgress;
-                return Begin::Claim(entry.claim);
+                return BeginOutcome::Claim(entry.claim);
             }
             self.remove(&key.clone());
         }
@@ -106,7 +106,7 @@
             self.drop_expired(wall);
         }
         if self.entries.len() >= self.maximum_keys {
-            return Begin::Full;
+            return BeginOutcome::Full;
         }
         let claim = ClaimId {
             sequence: self.next_sequence,
@@ -122,12 +122,12 @@
                 status,
             },
         );
-        Begin::Claim(claim)
+        BeginOutcome::Claim(claim)
     }
 
-    /// Records that the request was not and will not be dispatched under `claim` (the last attempt,
-    /// see [`super::ClaimRequester::claim`]) or any attempt before.
-    pub fn not_run(&mut self, key: &ClaimKey, claim: ClaimId) {
+    /// Records that the request was not and will never be dispatched under `claim` (the last
+    /// attempt, see [`super::ClaimRequester::claim`]) or any earlier attempt.
+    pub fn mark_not_run(&mut self, key: &ClaimKey, claim: ClaimId) {
         if let Some(entry) = self.in_progress(key, claim) {
             entry.claim = claim;
             entry.status = AnswerStatus::NotRun { claim };
@@ -144,10 +144,10 @@
         entry.status = AnswerStatus::Finished(Box::new(answer));
         self.bytes += size;
         self.finished.push_back((key.clone(), claim));
-        self.drop_oldest_answers();
+        self.evict_oldest_answers();
     }
 
-    /// What became of a key.
+    /// The status of a key.
     pub fn status(&self, key: &ClaimKey, wall: WallTime) -> AnswerStatus {
         let entry = self.entries.get(key);
         let is_current =
@@ -157,7 +157,7 @@
             .map_or(AnswerStatus::Unknown, |entry| entry.status.clone())
     }
 
-    /// Drops keys whose expiry and skew have passed. Call it every few seconds.
+    /// Removes keys whose expiry plus clock skew has passed. Call it every few seconds.
     pub fn drop_expired(&mut self, wall: WallTime) {
         let skew = self.settings.clock_skew;
         let is_expired = |entry: &Entry| add_millis(entry.expires, skew) <= wall;
@@ -189,8 +189,9 @@
         }
     }
 
-    /// Keeps the key of a dropped answer: its truthful status is `Unknown` until the expiry.
-    fn drop_oldest_answers(&mut self) {
+    /// Evicts the oldest answers above the size limit. Their keys stay, as `Unknown`, until the
+    /// expiry.
+    fn evict_oldest_answers(&mut self) {
         while self.bytes > self.maximum_bytes {
             let Some((key, claim)) = self.finished.pop_front() else {
                 return;
--- a/crates/tansylead-cluster/src/claims/event.rs
+++ b/crates/tansylead-cluster/src/claims/event.rs
@@ -1,10 +1,10 @@
-//! What a claim member is told: the time, the view, responses.
+//! Input of a claim member: clock readings, views and responses.
 
 use super::message::ClaimResponse;
 use tansylead_types::{ClaimView, InstanceId, Moment, WallTime};
 
-/// Both clocks. The wall clock must be read first: if the process is paused between the two
-/// readings, the expiries accepted are then bounded by a time at which the lease was still valid.
+/// Readings of both clocks. The wall clock must be read first: if the process is paused between
+/// the two readings, accepted expiries are then bounded by a time when the lease was still valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimTime {
     /// Monotonic clock that counts suspended time.
@@ -14,7 +14,7 @@
 }
 
 impl ClaimTime {
-    /// Reads both clocks in the order that is safe.
+    /// Reads both clocks in the safe order.
     pub fn read(wall: impl FnOnce() -> WallTime, now: impl FnOnce() -> Moment) -> Self {
         let wall = wall();
         let now = now();
@@ -22,7 +22,7 @@
     }
 }
 
-/// What happens to a member besides requests.
+/// Events that a member handles in addition to requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimMemberEvent {
     /// The configuration holds this view at this generation of its object.
@@ -33,13 +33,13 @@
         /// the store was restored and the view is being written again.
         generation: u64,
     },
-    /// A response to a request that this member sent to `asked`.
+    /// A response to a request that this member sent to the instance `asked`.
     Response {
         /// The instance that was asked.
         asked: InstanceId,
-        /// What came back from its address.
+        /// The response that came from its address.
         response: ClaimResponse,
     },
-    /// The time of [`ClaimMember::next_wakeup`] has come.
+    /// The time returned by [`ClaimMember::next_wakeup`] has been reached.
     Wakeup,
 }
--- a/crates/tansylead-cluster/src/claims/expiry.rs
+++ b/crates/tansylead-cluster/src/claims/expiry.rs
@@ -3,10 +3,10 @@
 use super::settings::ClaimSettings;
 use tansylead_types::WallTime;
 
-/// The request must not be sent any more; the truthful outcome is `not_run`.
+/// The request must no longer be sent; its outcome is `not_run`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DispatchRefused {
-    /// The expiry, less the allowance for clock skew, has passed.
+    /// The expiry, minus the allowance for clock skew, has passed.
     #[error("the request's expiry has passed or is nearer than the allowance for clock skew")]
     Expired,
     /// The expiry is further away than a claim can last.
@@ -14,9 +14,9 @@
     ExpiryTooLong,
 }
 
-/// Whether a non-repeatable request may still be sent. Call it after every wait, with a wall clock
-/// read right before the bytes are handed to the connection: a root that was paused since its
-/// claim was granted is stopped here, and by the leaf, which gets the same expiry.
+/// Checks that a non-repeatable request may still be sent. Call it after every wait, with a wall
+/// clock read right before the bytes are handed to the connection: a root that was paused after
+/// its claim was granted is stopped here, and by the leaf, which checks the same expiry.
 pub fn check_before_dispatch(
     expires: WallTime,
     wall: WallTime,
--- a/crates/tansylead-cluster/src/claims/grant.rs
+++ b/crates/tansylead-cluster/src/claims/grant.rs
@@ -1,4 +1,4 @@
-//! What a root asks for, what it is given, and how it gives that back.
+//! The claim that a root requests, the decision it gets, and how it releases a grant.
 
 use super::group::claim_group;
 use super::message::{
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tansylead_types::{ClaimView, InstanceId, WallTime};
 
-/// What a requester asks for.
+/// The claim that a requester asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimTerms {
     /// Key.
@@ -19,8 +19,8 @@
     pub expires: WallTime,
 }
 
-/// Permission to dispatch one request once. Dispatching still needs
-/// [`super::check_before_dispatch`] right before the bytes leave.
+/// Permission to dispatch one request once. Dispatching still requires
+/// [`super::check_before_dispatch`] right before the bytes are written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimGrant {
     /// Key.
@@ -33,31 +33,31 @@
     pub group: Vec<InstanceId>,
 }
 
-/// The one decision of a requester.
+/// The single decision of a requester.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimDecision {
     /// A majority granted the claim.
     Granted(ClaimGrant),
-    /// Not granted, and others are known to hold the key. Ask them what became of it; unless all
-    /// of them say it never ran, the outcome is not `not_run`.
+    /// Not granted, and others are known to hold the key. Ask them for its status; unless all of
+    /// them say that it never ran, the outcome is not `not_run`.
     HeldBy {
-        /// All holders heard of.
+        /// All holders reported by the members.
         holders: Vec<ClaimHolder>,
     },
     /// Not granted, and nobody is known to hold the key: `not_run`.
     Refused {
         /// The most frequent reason.
         reason: ClaimRefusal,
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
-        /// Highest epoch heard of; if above the requester's view, fetch the newer view.
+        /// Highest epoch seen; if above the requester's view, fetch the newer view.
         highest_epoch: u64,
     },
 }
 
-/// Requests that release a grant whose request truthfully ended as `not_run`. `view` is the newest
-/// view known: claims move to its group when the view changes. Losing these requests is harmless:
-/// the key stays claimed until its expiry.
+/// Requests that release a grant whose request ended as `not_run`. `view` is the newest known
+/// view: claims move to its group when the view changes. Losing these requests is harmless: the
+/// key stays claimed until its expiry.
 pub fn release_requests(view: &ClaimView, grant: &ClaimGrant) -> Vec<ClaimRequest> {
     let current = claim_group(&view.members, &grant.key);
     let mut members: BTreeSet<InstanceId> = grant.group.iter().copied().collect();
@@ -68,11 +68,11 @@
         expires: grant.expires,
     };
     let members: Vec<InstanceId> = members.into_iter().collect();
-    requests(grant.holder.owner, view.epoch, &members, &body)
+    requests_to_each(grant.holder.owner, view.epoch, &members, &body)
 }
 
-/// The same request to several members.
-pub(super) fn requests(
+/// Addresses the same request to several members.
+pub(super) fn requests_to_each(
     from: InstanceId,
     epoch: u64,
     to: &[InstanceId],
--- a/crates/tansylead-cluster/src/claims/group.rs
+++ b/crates/tansylead-cluster/src/claims/group.rs
@@ -1,21 +1,21 @@
-//! Which members of a view decide about a key: a group of three by rendezvous hashing, in
-//! different places and zones where there are any.
+//! Which members of a view decide about a key: a group of three chosen by rendezvous hashing, in
+//! different places or zones as far as the view has them.
 
 use super::message::ClaimKey;
 use std::net::SocketAddr;
 use tansylead_types::{ClaimViewMember, InstanceId};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Members that decide about one key.
+/// Number of members that decide about one key.
 pub const GROUP_SIZE: usize = 3;
 
-/// Grants needed among that many members.
+/// Grants needed among `members` members.
 pub fn majority(members: usize) -> usize {
     members / 2 + 1
 }
 
-/// Sealed members of a group that make a majority of grants impossible; any such set meets every
-/// majority, so together they know every claim that a majority granted.
+/// Number of sealed members of a group that make a majority of grants impossible. Any such set
+/// intersects every majority, so together they know every claim that a majority granted.
 pub fn seal_quorum(members: usize) -> usize {
     members + 1 - majority(members)
 }
@@ -36,18 +36,20 @@
     group
 }
 
-/// Highest ranked candidate in a place not yet used, else in a zone not yet used, else at all.
+/// Position of the highest ranked candidate in an unused place, else in an unused zone, else of
+/// the highest ranked of all.
 fn next_position(ranked: &[(u64, &ClaimViewMember)], group: &[&ClaimViewMember]) -> usize {
-    let new_place = |member: &ClaimViewMember| group.iter().all(|old| old.place != member.place);
-    let new_zone = |member: &ClaimViewMember| {
+    let is_in_new_place =
+        |member: &ClaimViewMember| group.iter().all(|chosen| chosen.place != member.place);
+    let is_in_new_zone = |member: &ClaimViewMember| {
         group
             .iter()
-            .all(|old| old.place != member.place || old.zone != member.zone)
+            .all(|chosen| chosen.place != member.place || chosen.zone != member.zone)
     };
     ranked
         .iter()
-        .position(|(_, member)| new_place(member))
-        .or_else(|| ranked.iter().position(|(_, member)| new_zone(member)))
+        .position(|(_, member)| is_in_new_place(member))
+        .or_else(|| ranked.iter().position(|(_, member)| is_in_new_zone(member)))
         .unwrap_or(0)
 }
 
--- a/crates/tansylead-cluster/src/claims/member.rs
+++ b/crates/tansylead-cluster/src/claims/member.rs
@@ -1,6 +1,6 @@
-//! A claim member: grants claims to roots, remembers them until they expire, and takes over the
-//! claims of earlier views when the view changes. Runs on every daemon; grants only in views that
-//! name this very instance.
+//! A claim member: grants claims to roots, stores them until they expire, and copies the claims of
+//! earlier views when the view changes. Runs on every daemon; grants only in views that name this
+//! exact instance.
 
 use super::adopted_view::{AdoptedView, EarlyHandover, copy_request};
 use super::event::{ClaimMemberEvent, ClaimTime};
@@ -17,31 +17,31 @@
 use std::time::Duration;
 use tansylead_types::{ClaimView, InstanceId, Moment, WallTime};
 
-/// Period of dropping expired claims from memory; grants look at the expiry itself.
+/// Period of removing expired claims from memory; grants check the expiry themselves.
 const SWEEP_PERIOD: Duration = Duration::from_secs(10);
-/// Epochs in which the member was complete that it remembers.
-const REMEMBERED_EPOCHS: usize = 16;
+/// Maximum number of epochs kept in which the member held all earlier claims of its keys.
+const MAXIMUM_COMPLETE_EPOCHS: usize = 16;
 
 /// The state machine of one claim member.
 #[derive(Debug, Clone)]
 pub struct ClaimMember {
-    me: InstanceId,
+    own_instance: InstanceId,
     settings: ClaimSettings,
-    /// Highest epoch heard of from anyone; the member grants in no lower one, ever.
+    /// Highest epoch seen in any message or view; the member never grants in a lower one.
     highest_epoch: u64,
     adopted: Option<AdoptedView>,
     table: ClaimTable,
     complete_epochs: BTreeSet<u64>,
-    /// Members of the newest view heard of, but not adopted yet, that have fetched all they need.
+    /// Members of the newest view not yet adopted that have copied every claim they need.
     early_handover: EarlyHandover,
     next_sweep: Moment,
 }
 
 impl ClaimMember {
-    /// A member that has just started: it knows no view and holds nothing.
-    pub fn new(me: InstanceId, settings: ClaimSettings, now: Moment) -> Self {
+    /// A member that has just started, without a view or claims.
+    pub fn new(own_instance: InstanceId, settings: ClaimSettings, now: Moment) -> Self {
         Self {
-            me,
+            own_instance,
             settings,
             highest_epoch: 0,
             adopted: None,
@@ -55,8 +55,9 @@
     /// State for reports, metrics and the planner.
     pub fn status(&self) -> ClaimMemberStatus {
         let adopted = self.adopted.as_ref();
-        let is_complete =
-            |adopted: &AdoptedView| adopted.transfer.is_complete() && adopted.has_member(self.me);
+        let is_complete = |adopted: &AdoptedView| {
+            adopted.transfer.is_complete() && adopted.has_member(self.own_instance)
+        };
         ClaimMemberStatus {
             epoch: adopted.map_or(0, |adopted| adopted.view.epoch),
             complete: adopted.is_some_and(is_complete),
@@ -64,26 +65,26 @@
         }
     }
 
-    /// Highest epoch heard of. If it exceeds the adopted one, the daemon should fetch the view.
+    /// Highest epoch seen. If it exceeds the adopted one, the daemon should fetch the view.
     pub fn highest_epoch(&self) -> u64 {
         self.highest_epoch
     }
 
     /// Whether a planned stop should wait: this daemon is a member of the view, or members of the
-    /// view have yet to copy claims from it. Ask the planner to replace leaving members.
+    /// view still have to copy claims from it. The planner replaces leaving members.
     pub fn is_needed(&self) -> bool {
         let Some(adopted) = &self.adopted else {
             return false;
         };
         let mut earlier = adopted.view.earlier.iter().flat_map(|view| &view.members);
-        let was_member = earlier.any(|member| member.instance == self.me);
+        let was_member = earlier.any(|member| member.instance == self.own_instance);
         let has_copied = |instance: InstanceId| adopted.handed_over.contains(&instance);
         let all_copied = adopted
             .view
             .members
             .iter()
             .all(|member| has_copied(member.instance));
-        adopted.has_member(self.me) || (was_member && !all_copied)
+        adopted.has_member(self.own_instance) || (was_member && !all_copied)
     }
 
     /// When [`ClaimMemberEvent::Wakeup`] is due.
@@ -91,12 +92,12 @@
         let Some(adopted) = self
             .adopted
             .as_ref()
-            .filter(|adopted| adopted.has_member(self.me))
+            .filter(|adopted| adopted.has_member(self.own_instance))
         else {
             return self.next_sweep;
         };
         let mut wakeup = self.next_sweep.min(adopted.next_heartbeat);
-        if adopted.transfer.has_unfinished() {
+        if adopted.transfer.has_pending_sources() {
             wakeup = wakeup.min(adopted.next_copy);
         }
         adopted
@@ -105,10 +106,10 @@
             .map_or(wakeup, |until| wakeup.min(until))
     }
 
-    /// Answers a request from another daemon or from this one. `time` must be read after the
+    /// Answers a request from another daemon or from this one. The clocks must be read after the
     /// request arrived.
     pub fn on_request(&mut self, time: ClaimTime, request: &ClaimRequest) -> ClaimResponse {
-        let body = if request.to == self.me {
+        let body = if request.to == self.own_instance {
             self.highest_epoch = self.highest_epoch.max(request.epoch);
             self.answer(time, request)
         } else {
@@ -116,12 +117,12 @@
         };
         ClaimResponse {
             epoch: self.highest_epoch,
-            from: self.me,
+            from: self.own_instance,
             body,
         }
     }
 
-    /// Handles an event; returns requests to send.
+    /// Handles an event and returns the requests to send.
     pub fn on_event(&mut self, time: ClaimTime, event: ClaimMemberEvent) -> Vec<ClaimRequest> {
         let next_page = match event {
             ClaimMemberEvent::ViewLearned { view, generation } => {
@@ -146,11 +147,12 @@
             return;
         }
         self.highest_epoch = self.highest_epoch.max(view.epoch);
-        // Written again after the store was restored; its own generation is still to come.
+        // A generation below the epoch: the store was restored and the view is being rewritten
+        // until its generation reaches the epoch.
         if generation < view.epoch {
             return;
         }
-        let transfer = Transfer::new(self.me, &view, generation, &self.complete_epochs);
+        let transfer = Transfer::new(self.own_instance, &view, generation, &self.complete_epochs);
         let handed_over = self.early_handover.take(view.epoch);
         self.adopted = Some(AdoptedView::new(view, transfer, now, handed_over));
     }
@@ -194,38 +196,43 @@
             self.table.insert_copied(claim, time.wall, &self.settings);
         }
         let next = page.next.clone()?;
-        Some(copy_request(self.me, &adopted.view, from, Some(next)))
+        Some(copy_request(
+            self.own_instance,
+            &adopted.view,
+            from,
+            Some(next),
+        ))
     }
 
-    /// Sends what is due and records progress.
+    /// Returns the requests that are due and updates the progress of copying.
     fn advance(&mut self, time: ClaimTime) -> Vec<ClaimRequest> {
         if time.now >= self.next_sweep {
             self.table.drop_expired(time.wall, &self.settings);
             self.next_sweep = time.now + SWEEP_PERIOD;
         }
         let mut requests = Vec::new();
-        let me = self.me;
+        let own_instance = self.own_instance;
         let Some(adopted) = self
             .adopted
             .as_mut()
-            .filter(|adopted| adopted.has_member(me))
+            .filter(|adopted| adopted.has_member(own_instance))
         else {
             return requests;
         };
         adopted.transfer.advance(time.now, &self.settings);
         if adopted.transfer.is_complete() {
             self.complete_epochs.insert(adopted.view.epoch);
-            while self.complete_epochs.len() > REMEMBERED_EPOCHS {
+            while self.complete_epochs.len() > MAXIMUM_COMPLETE_EPOCHS {
                 self.complete_epochs.pop_first();
             }
         }
         if time.now >= adopted.next_heartbeat {
             adopted.next_heartbeat = time.now + self.settings.heartbeat_period;
-            requests.extend(adopted.heartbeats(me, time.now));
+            requests.extend(adopted.heartbeats(own_instance, time.now));
         }
         if time.now >= adopted.next_copy {
             adopted.next_copy = time.now + self.settings.copy_retry;
-            requests.extend(adopted.copy_requests(me));
+            requests.extend(adopted.copy_requests(own_instance));
         }
         requests
     }
@@ -273,9 +280,9 @@
             owner: request.from,
             claim,
         };
-        let answer = match self.reason_not_to_grant(time, request.epoch, key, expires) {
+        let answer = match self.refusal_reason(time, request.epoch, key, expires) {
             Some(refusal) => {
-                // Whoever holds the key is worth knowing, also from a member that cannot grant.
+                // The requester needs the holders even from a member that cannot grant.
                 let holders = self
                     .table
                     .other_holders(key, holder, time.wall, &self.settings);
@@ -305,7 +312,7 @@
         }
     }
 
-    fn reason_not_to_grant(
+    fn refusal_reason(
         &self,
         time: ClaimTime,
         epoch: u64,
@@ -325,13 +332,13 @@
         let members = &adopted.view.members;
         if !claim_group(members, key)
             .iter()
-            .any(|member| member.instance == self.me)
+            .any(|member| member.instance == self.own_instance)
         {
             return Some(ClaimRefusal::NotMember);
         }
         if !adopted
             .lease
-            .is_valid(self.me, members, time.now, self.settings.lease)
+            .is_valid(self.own_instance, members, time.now, self.settings.lease)
         {
             return Some(ClaimRefusal::NoLease);
         }
@@ -345,33 +352,35 @@
             .then_some(ClaimRefusal::ExpiryTooLong)
     }
 
-    /// Hands over claims. The request's epoch, already noted, seals this member for lower ones.
-    fn note_handed_over(&mut self, epoch: u64, asker: InstanceId) {
+    /// Records that a member of a view has copied every claim it needs from this one.
+    fn record_handover(&mut self, epoch: u64, requester: InstanceId) {
         match &mut self.adopted {
             Some(adopted) if adopted.view.epoch == epoch => {
-                adopted.handed_over.insert(asker);
+                adopted.handed_over.insert(requester);
             }
             Some(adopted) if adopted.view.epoch > epoch => {}
-            _ => self.early_handover.note(epoch, asker),
+            _ => self.early_handover.record(epoch, requester),
         }
     }
 
+    /// Hands over claims. The request's epoch, already recorded as the highest seen, seals this
+    /// member for lower ones.
     fn answer_copy(
         &mut self,
-        asker: InstanceId,
+        requester: InstanceId,
         view: &ClaimView,
         after: Option<&ClaimKey>,
     ) -> ClaimResponseBody {
         let is_wanted = |key: &ClaimKey| {
             claim_group(&view.members, key)
                 .iter()
-                .any(|member| member.instance == asker)
+                .any(|member| member.instance == requester)
         };
         let (claims, next) = self
             .table
             .page(after, self.settings.copy_page_claims, is_wanted);
         if next.is_none() {
-            self.note_handed_over(view.epoch, asker);
+            self.record_handover(view.epoch, requester);
         }
         ClaimResponseBody::Copied(CopiedPage {
             view_epoch: view.epoch,
--- a/crates/tansylead-cluster/src/claims/message.rs
+++ b/crates/tansylead-cluster/src/claims/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the claim machines: one request and one response type, sent as postcard over the
+//! Messages of the claim state machines: one request and one response type, sent as postcard over the
 //! daemons' peer connections. Every message carries an epoch and the instance it comes from.
 
 use serde::{Deserialize, Serialize};
@@ -13,11 +13,11 @@
     pub key: IdempotencyKey,
 }
 
-/// Identifies one attempt of an owner to claim a key. A later attempt of the same sequence states
+/// Identifies one attempt of an owner to claim a key. A later attempt of the same sequence means
 /// that the owner has given up all earlier ones and will never dispatch under them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// Unique for a key within the owner's instance.
+    /// Unique per key within the owner's instance.
     pub sequence: u64,
     /// Grows with each attempt of the sequence.
     pub attempt: u32,
@@ -39,13 +39,13 @@
     pub epoch: u64,
     /// Sender.
     pub from: InstanceId,
-    /// The very instance that is meant; any other instance at that address refuses.
+    /// The addressed instance; any other instance at that address refuses.
     pub to: InstanceId,
-    /// What is asked.
+    /// The operation requested.
     pub body: ClaimRequestBody,
 }
 
-/// What is asked of a member.
+/// Operations of a claim member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimRequestBody {
     /// Grant the sender the key until its expiry.
@@ -66,12 +66,12 @@
         /// Expiry of the request; how long the release is remembered.
         expires: WallTime,
     },
-    /// Renews the sender's lease: is its epoch still the highest the receiver has heard of?
+    /// Renews the sender's lease if its epoch is still the highest that the receiver has seen.
     Heartbeat {
-        /// The sender's clock at sending; echoed.
+        /// The sender's clock when sending; echoed in the response.
         sent: Moment,
     },
-    /// Stop granting in all epochs below the view's, and hand over the claims that the sender
+    /// Stop granting in all epochs below the view's (seal), and return the claims that the sender
     /// needs in that view.
     Copy {
         /// The view that the sender is preparing for.
@@ -86,56 +86,56 @@
 /// A member's response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimResponse {
-    /// Highest epoch the responder has heard of.
+    /// Highest epoch that the responder has seen.
     pub epoch: u64,
     /// Responder.
     pub from: InstanceId,
-    /// What it says.
+    /// The result.
     pub body: ClaimResponseBody,
 }
 
-/// What a member says.
+/// Result of a request to a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimResponseBody {
     /// The claim is recorded.
     Granted {
-        /// Echo.
+        /// Echoed from the request.
         key: ClaimKey,
-        /// Echo.
+        /// Echoed from the request.
         claim: ClaimId,
     },
     /// Others hold the key.
     Held {
-        /// Echo.
+        /// Echoed from the request.
         key: ClaimKey,
-        /// Echo.
+        /// Echoed from the request.
         claim: ClaimId,
-        /// All holders known to the member.
+        /// All holders that the member knows.
         holders: Vec<ClaimHolder>,
     },
     /// The claim is not granted.
     ClaimRefused {
-        /// Echo.
+        /// Echoed from the request.
         key: ClaimKey,
-        /// Echo.
+        /// Echoed from the request.
         claim: ClaimId,
         /// Why.
         refusal: ClaimRefusal,
     },
-    /// The claim is released, whether or not it was known.
+    /// The claim is released, or was not held.
     Released,
-    /// The sender's epoch is the highest the responder has heard of.
+    /// The sender's epoch is the highest that the responder has seen.
     HeartbeatAcknowledged {
-        /// Echo.
+        /// Echoed from the request.
         sent: Moment,
     },
     /// The sender's epoch is not the highest.
     HeartbeatRefused,
-    /// Claims; the responder is sealed for all epochs below the view asked for.
+    /// A page of claims; the responder is sealed for all epochs below the requested view.
     Copied(CopiedPage),
     /// State of the member.
     Status(ClaimMemberStatus),
-    /// The responder is another instance than the one meant.
+    /// The responder is not the addressed instance.
     AnotherInstance,
 }
 
@@ -144,13 +144,13 @@
 pub struct CopiedPage {
     /// Epoch of the view that the claims are copied for.
     pub view_epoch: u64,
-    /// Echo of the request.
+    /// Echoed from the request.
     pub after: Option<ClaimKey>,
-    /// Claims in order of their keys.
+    /// Claims, ordered by key.
     pub claims: Vec<CopiedClaim>,
     /// Continue after this key; none if this is the last page.
     pub next: Option<ClaimKey>,
-    /// Epochs in which the responder held all claims of its keys.
+    /// Epochs in which the responder held all earlier claims of its keys.
     pub complete_epochs: Vec<u64>,
 }
 
@@ -172,18 +172,18 @@
     pub epoch: u64,
     /// Whether it holds all earlier claims of its keys in that epoch.
     pub complete: bool,
-    /// Claims held.
+    /// Number of claims held.
     pub claims: u64,
 }
 
-/// Why a member does not grant a claim. None of these says that the key was claimed before.
+/// Why a member does not grant a claim. None of the reasons implies that the key is claimed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ClaimRefusal {
-    /// Sender and member know different epochs.
+    /// Sender and member are in different epochs.
     EpochMismatch,
     /// This instance is not a member of the view, or not of the key's group.
     NotMember,
-    /// No majority of the view has acknowledged the member's heartbeats lately.
+    /// No majority of the view has acknowledged the member's heartbeats within the lease time.
     NoLease,
     /// Claims of earlier views are not copied yet.
     NotCopied,
@@ -191,7 +191,7 @@
     Expired,
     /// The expiry is further away than the longest allowed.
     ExpiryTooLong,
-    /// The member holds as many claims as it may.
+    /// The member holds the maximum number of claims.
     TooManyClaims,
     /// The sender has already given up this claim.
     Abandoned,
--- a/crates/tansylead-cluster/src/claims/planner.rs
+++ b/crates/tansylead-cluster/src/claims/planner.rs
@@ -1,12 +1,12 @@
 //! Proposes the next claim view. Any daemon that reads the store may run a planner; the proposal is
-//! written by compare-and-set on the generation of the view it was made from, so of several
-//! proposals one wins.
+//! written by compare-and-set on the generation of the view it is based on, so only one of several
+//! concurrent proposals is accepted.
 //!
-//! Invariant: a view names all views whose claims may be in force. Earlier views are left out only
-//! once the current view is settled: every member that is not gone has reported that it holds all
-//! earlier claims, and there is at least one. One such report already means that no member of an
-//! older view can grant any more. An unsettled view changes only if a majority of it is gone: it
-//! cannot grant then, and its successor names it besides the views before it.
+//! Invariant: a view lists all views whose claims may be in force. Earlier views are omitted only
+//! once the current view is settled: every member that has not departed has reported that it holds
+//! all earlier claims, and there is at least one. One such report already means that no member of
+//! an older view can grant any more. An unsettled view is replaced only if a majority of it has
+//! departed: it cannot grant then, and its successor lists it after the views before it.
 
 use super::group::{hash_instance, majority};
 use super::message::ClaimMemberStatus;
@@ -14,39 +14,40 @@
 use std::time::Duration;
 use tansylead_types::{ClaimView, ClaimViewMember, EarlierClaimView, InstanceId, Moment};
 
-/// Most members of a view.
+/// Maximum number of members of a view.
 pub const MAXIMUM_VIEW_MEMBERS: usize = 15;
-/// Most earlier views in a view. The list grows only if a majority of a view is gone before those
-/// that are left hold all earlier claims.
+/// Maximum number of earlier views in a view. The list grows only if a majority of a view departs
+/// before the remaining members hold all earlier claims.
 const MAXIMUM_EARLIER_VIEWS: usize = 16;
-/// A member is replaced after being absent for this long.
+/// Time after which an absent member is replaced.
 const ABSENCE_BEFORE_REPLACEMENT: Duration = Duration::from_secs(10);
-/// Least time between two changes, and before the first view.
+/// Minimum time between two changes, and before the first view.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(5);
-/// Ranks daemons for the choice of new members.
+/// Seed of the hash that ranks candidates for new members.
 const RANK_SEED: u64 = 0x7461_6e73;
 
-/// A daemon that the membership holds to be alive.
+/// A daemon that the membership reports as alive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LiveDaemon {
     /// The daemon.
     pub member: ClaimViewMember,
-    /// Whether it has announced that it leaves.
+    /// Whether it has announced that it is leaving.
     pub is_leaving: bool,
 }
 
-/// Proposes views over time: waits before it replaces a member and limits the rate of changes.
+/// Proposes views over time: delays the replacement of absent members and limits the rate of
+/// changes.
 #[derive(Debug, Clone)]
 pub struct ClaimViewPlanner {
     absent_since: BTreeMap<InstanceId, Moment>,
     epoch: u64,
     epoch_since: Moment,
-    /// Members of the epoch that have reported to hold all earlier claims.
+    /// Members of the current epoch that have reported that they hold all earlier claims.
     complete: BTreeSet<InstanceId>,
 }
 
 impl ClaimViewPlanner {
-    /// A planner that has seen nothing.
+    /// A planner without observations.
     pub fn new(now: Moment) -> Self {
         Self {
             absent_since: BTreeMap::new(),
@@ -56,10 +57,10 @@
         }
     }
 
-    /// The next view, if one is due. `current` is the view in the store; pass none only if the
-    /// store says that the object never existed, and then write with expected generation 0.
-    /// `statuses` are answers of the current view's members; without them it changes only after the
-    /// loss of a majority. Call this or [`Self::is_change_due`] about once a second.
+    /// Returns the next view if a change is due. `current` is the view in the store; pass none only
+    /// if the store reports that the object never existed, and then write with expected generation
+    /// 0. `statuses` are answers of the current view's members; without them the view changes only
+    /// after the loss of a majority. Call this or [`Self::is_change_due`] about once a second.
     pub fn plan(
         &mut self,
         now: Moment,
@@ -67,16 +68,17 @@
         live: &[LiveDaemon],
         statuses: &BTreeMap<InstanceId, ClaimMemberStatus>,
     ) -> Option<ClaimView> {
-        let gone = self.observe(now, current, live)?;
-        let reported = |status: &ClaimMemberStatus| status.complete && status.epoch == self.epoch;
-        let complete = statuses.iter().filter(|(_, status)| reported(status));
+        let departed = self.observe(now, current, live)?;
+        let is_complete =
+            |status: &ClaimMemberStatus| status.complete && status.epoch == self.epoch;
+        let complete = statuses.iter().filter(|(_, status)| is_complete(status));
         let complete: Vec<InstanceId> = complete.map(|(instance, _)| *instance).collect();
         self.complete.extend(complete);
-        next_claim_view(current, live, &gone, &self.complete)
+        next_claim_view(current, live, &departed, &self.complete)
     }
 
-    /// Whether a change would be due if the current view were settled. Only then is it worth asking
-    /// its members for their statuses, which [`Self::plan`] needs.
+    /// Whether a change would be due if the current view were settled. Only then do its members
+    /// need to be asked for the statuses that [`Self::plan`] takes.
     pub fn is_change_due(
         &mut self,
         now: Moment,
@@ -84,12 +86,15 @@
         live: &[LiveDaemon],
     ) -> bool {
         let members = current.map_or(&[][..], |view| &view.members);
-        let everyone = members.iter().map(|member| member.instance).collect();
-        let gone = self.observe(now, current, live);
-        gone.is_some_and(|gone| next_claim_view(current, live, &gone, &everyone).is_some())
+        let all_members = members.iter().map(|member| member.instance).collect();
+        let departed = self.observe(now, current, live);
+        departed.is_some_and(|departed| {
+            next_claim_view(current, live, &departed, &all_members).is_some()
+        })
     }
 
-    /// Notes who is there. Returns who is gone, or none if it is too early for a change.
+    /// Records which members are present. Returns the departed ones, or none if it is too early for
+    /// a change.
     fn observe(
         &mut self,
         now: Moment,
@@ -102,26 +107,29 @@
             self.epoch_since = now;
             self.complete.clear();
         }
-        let gone = self.gone(now, current, live);
-        // Whoever has just vanished is waited for, so that one change replaces all who are gone.
-        let is_undecided = self
+        let departed = self.departed_members(now, current, live);
+        // Waits for members that became absent recently, so that one change replaces all of them.
+        let is_absence_recent = self
             .absent_since
             .keys()
-            .any(|instance| !gone.contains(instance));
+            .any(|instance| !departed.contains(instance));
         let is_early = now.since(self.epoch_since) < CHANGE_INTERVAL;
-        (!is_undecided && !is_early).then_some(gone)
+        (!is_absence_recent && !is_early).then_some(departed)
     }
 
-    /// Members absent for long enough, or leaving.
-    fn gone(
+    /// Updates the times of absence and returns members that are leaving or absent for long enough.
+    fn departed_members(
         &mut self,
         now: Moment,
         current: Option<&ClaimView>,
         live: &[LiveDaemon],
     ) -> BTreeSet<InstanceId> {
         let members = current.map_or(&[][..], |view| &view.members);
-        let find = |instance: InstanceId| live.iter().find(|d| d.member.instance == instance);
-        let is_absent = |instance: &InstanceId| find(*instance).is_none();
+        let find_daemon = |instance: InstanceId| {
+            live.iter()
+                .find(|daemon| daemon.member.instance == instance)
+        };
+        let is_absent = |instance: &InstanceId| find_daemon(*instance).is_none();
         let absent: BTreeSet<InstanceId> = members
             .iter()
             .map(|member| member.instance)
@@ -132,7 +140,8 @@
         for instance in &absent {
             self.absent_since.entry(*instance).or_insert(now);
         }
-        let is_leaving = |instance: InstanceId| find(instance).is_some_and(|d| d.is_leaving);
+        let is_leaving =
+            |instance: InstanceId| find_daemon(instance).is_some_and(|daemon| daemon.is_leaving);
         let leaving = members
             .iter()
             .map(|m| m.instance)
@@ -146,17 +155,17 @@
     }
 }
 
-/// The view that should follow, or none if nothing should change: members that are gone are
-/// replaced, and a view smaller than it could be grows; all other members stay. `complete` names
-/// the members of the current view that have reported to hold all earlier claims.
+/// The view that should follow, or none if nothing should change: departed members are replaced,
+/// and a view below the maximum size grows; all other members stay. `complete` lists the members of the current
+/// view that have reported that they hold all earlier claims.
 pub fn next_claim_view(
     current: Option<&ClaimView>,
     live: &[LiveDaemon],
-    gone: &BTreeSet<InstanceId>,
+    departed: &BTreeSet<InstanceId>,
     complete: &BTreeSet<InstanceId>,
 ) -> Option<ClaimView> {
     let Some(current) = current else {
-        let members = fill(Vec::new(), live);
+        let members = add_members(Vec::new(), live);
         return (!members.is_empty()).then_some(ClaimView {
             epoch: 1,
             members,
@@ -169,10 +178,10 @@
     let kept: Vec<ClaimViewMember> = current
         .members
         .iter()
-        .filter(|member| !gone.contains(&member.instance))
+        .filter(|member| !departed.contains(&member.instance))
         .cloned()
         .collect();
-    let members = fill(kept.clone(), live);
+    let members = add_members(kept.clone(), live);
     if members.is_empty() || is_same_set(&members, &current.members) {
         return None;
     }
@@ -184,7 +193,7 @@
     let mut earlier = match (is_settled, has_lost_majority) {
         (true, _) => Vec::new(),
         (false, true) => current.earlier.clone(),
-        // Those who are left can grant, and will hold all earlier claims sooner than others would.
+        // The remaining members can grant, and will hold all earlier claims sooner than new ones.
         (false, false) => return None,
     };
     earlier.push(EarlierClaimView {
@@ -199,9 +208,9 @@
     })
 }
 
-/// Whether a majority of the view is alive, or known to be dead because another run answers at its
-/// address. Otherwise a new view could not become ready and would only stop the current one; a
-/// daemon cut off with a minority must not propose.
+/// Whether each member of a majority of the view is alive, or known to be dead because a later run
+/// answers at its address. Otherwise a new view could not become ready and would only stop the
+/// current one; a daemon partitioned with a minority must not propose.
 fn can_seal_majority(current: &ClaimView, live: &[LiveDaemon]) -> bool {
     let is_reachable = |member: &&ClaimViewMember| {
         live.iter().any(|daemon| {
@@ -214,8 +223,8 @@
 }
 
 /// Adds live daemons up to the maximum, each time from the place, then the zone, with the fewest
-/// members. Equal candidates are ranked by hash, so that all planners propose the same.
-fn fill(mut members: Vec<ClaimViewMember>, live: &[LiveDaemon]) -> Vec<ClaimViewMember> {
+/// members. Equal candidates are ranked by hash, so that all planners propose the same view.
+fn add_members(mut members: Vec<ClaimViewMember>, live: &[LiveDaemon]) -> Vec<ClaimViewMember> {
     let mut candidates: Vec<&ClaimViewMember> = live
         .iter()
         .filter(|daemon| !daemon.is_leaving && !members.contains(&daemon.member))
--- a/crates/tansylead-cluster/src/claims/repair.rs
+++ b/crates/tansylead-cluster/src/claims/repair.rs
@@ -1,49 +1,49 @@
-//! Brings the store's claim view up again after the store was restored to an older state: decides
-//! when the view in force is written once more, unchanged, and with which expected generation.
+//! Repairs the claim view in the store after the store was restored to an older state: decides when
+//! the view in force is written again, unchanged, and with which expected generation.
 //!
 //! Invariants: a view is written again only while the store's generation is below its epoch, and
-//! only after a majority of its members answered and nobody who answered has heard of a higher
-//! epoch. Members adopt a view only at a generation that is not below its epoch, so none of these
-//! writes makes anybody grant; the last one, at the epoch itself, restores what was in force.
+//! only after a majority of its members answered and none of them has seen a higher epoch. Members
+//! adopt a view only at a generation that is not below its epoch, so none of the earlier writes
+//! makes any member grant; the last one, at the epoch itself, restores the view in force.
 
 use super::group::majority;
 use super::message::ClaimMemberStatus;
 use std::collections::BTreeMap;
 use tansylead_types::{ClaimView, InstanceId};
 
-/// What a planner does before it plans.
+/// What the planner must do before it plans.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimViewRepairStep {
     /// The store is not known to hold an older generation than the view's epoch: plan as usual.
     NotNeeded,
-    /// The view must be written again, but it is not known whether a newer one was in force: plan
-    /// nothing, and look again.
+    /// The view must be written again, but a newer one may have been in force: plan nothing, and
+    /// check again later.
     Wait,
     /// Write the view again, unchanged.
     Write {
-        /// Generation that the store is expected to hold.
+        /// Generation that the store must hold for the write to succeed.
         expected_generation: u64,
     },
 }
 
-/// What a planner knows of the generation of the claim view in the store.
+/// The generation of the claim view in the store, as far as a planner knows it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClaimViewRepair {
     last_answer: Option<StoreAnswer>,
 }
 
-/// What the store's last answer to a write said.
+/// Generation named in the store's last answer to a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct StoreAnswer {
     /// Generation in the store.
     generation: u64,
-    /// Generation that this daemon held when it wrote; once it holds another, the answer is old.
+    /// Generation that this daemon held when it wrote; once it holds another, the answer is stale.
     held_generation: u64,
 }
 
 impl ClaimViewRepair {
-    /// Notes the generation that the store named in its answer to a write, accepted or refused;
-    /// 0 if the object does not exist. `held_generation` is what this daemon held when it wrote.
+    /// Records the generation in the store's answer to a write, accepted or refused; 0 if the
+    /// object does not exist. `held_generation` is the one this daemon held when it wrote.
     pub fn on_store_generation(&mut self, generation: u64, held_generation: u64) {
         self.last_answer = Some(StoreAnswer {
             generation,
@@ -51,14 +51,14 @@
         });
     }
 
-    /// Whether the view in force, held at `held_generation`, must be written again. Only then is it
-    /// worth asking its members for their statuses, which [`Self::next_step`] needs.
+    /// Whether the view in force, held at `held_generation`, must be written again. Only then do
+    /// its members need to be asked for the statuses that [`Self::next_step`] takes.
     pub fn is_needed(&self, view: &ClaimView, held_generation: u64) -> bool {
         self.generation_to_replace(view, held_generation).is_some()
     }
 
     /// The next step. `statuses` are answers of the view's members to this planner, and
-    /// `highest_epoch` is the highest epoch named in them or heard of by this daemon.
+    /// `highest_epoch` is the highest epoch in them or seen by this daemon.
     pub fn next_step(
         &self,
         view: &ClaimView,
--- a/crates/tansylead-cluster/src/claims/requester.rs
+++ b/crates/tansylead-cluster/src/claims/requester.rs
@@ -1,9 +1,9 @@
-//! A root's side of one claim: asks the key's group, decides once, and never uses a grant that
-//! arrives after the decision. Ballots that split are tried again: the lowest instance keeps its
-//! votes, the others release theirs and come back after a random pause.
+//! The root's side of one claim: asks the key's group, decides once, and never uses a grant that
+//! arrives after the decision. Split votes are retried: the lowest instance keeps its votes, the
+//! others release theirs and retry after a random backoff.
 
 use super::event::ClaimTime;
-use super::grant::{ClaimDecision, ClaimGrant, ClaimTerms, requests};
+use super::grant::{ClaimDecision, ClaimGrant, ClaimTerms, requests_to_each};
 use super::group::{claim_group, majority};
 use super::message::{
     ClaimHolder, ClaimId, ClaimKey, ClaimRefusal, ClaimRequest, ClaimRequestBody, ClaimResponse,
@@ -16,14 +16,14 @@
 use std::time::Duration;
 use tansylead_types::{ClaimView, InstanceId, Moment, WallTime};
 
-/// What happens to a requester.
+/// Events that a requester handles.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimRequesterEvent {
     /// A response to a request sent to `asked`.
     Response {
         /// The instance that was asked.
         asked: InstanceId,
-        /// What came back.
+        /// The response.
         response: ClaimResponse,
     },
     /// The request could not be delivered or got no response.
@@ -31,16 +31,16 @@
         /// The instance that was asked.
         asked: InstanceId,
     },
-    /// The time of [`ClaimRequester::next_wakeup`] has come.
+    /// The time returned by [`ClaimRequester::next_wakeup`] has been reached.
     Wakeup,
 }
 
-/// What the daemon does for a requester.
+/// Actions that the daemon performs for a requester.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimRequesterAction {
-    /// Send a request. Responses to releases need not be awaited.
+    /// Send a request. The daemon need not wait for responses to releases.
     Send(ClaimRequest),
-    /// The decision; comes exactly once.
+    /// Report the decision; returned exactly once.
     Decide(ClaimDecision),
 }
 
@@ -53,15 +53,15 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    Asking { until: Moment },
-    Pausing { until: Moment },
+    Voting { until: Moment },
+    BackingOff { until: Moment },
     Decided,
 }
 
-/// The state machine of one claim at the root.
+/// State machine of one claim at the root.
 #[derive(Debug, Clone)]
 pub struct ClaimRequester {
-    me: InstanceId,
+    own_instance: InstanceId,
     settings: ClaimSettings,
     epoch: u64,
     highest_epoch: u64,
@@ -77,10 +77,10 @@
 }
 
 impl ClaimRequester {
-    /// Starts asking the key's group in the view. `seed` spreads the pauses of requesters that race
-    /// one another; it must differ between them.
+    /// Starts asking the key's group in the view. `seed` randomizes the backoff of competing
+    /// requesters; it must differ between them.
     pub fn start(
-        me: InstanceId,
+        own_instance: InstanceId,
         settings: ClaimSettings,
         view: &ClaimView,
         terms: ClaimTerms,
@@ -89,7 +89,7 @@
     ) -> (Self, Vec<ClaimRequesterAction>) {
         let group = claim_group(&view.members, &terms.key);
         let mut requester = Self {
-            me,
+            own_instance,
             epoch: view.epoch,
             highest_epoch: view.epoch,
             claim: terms.claim,
@@ -107,7 +107,7 @@
         (requester, actions)
     }
 
-    /// The attempt that is under way or was decided.
+    /// The current attempt, or the one that was decided.
     pub fn claim(&self) -> ClaimId {
         self.claim
     }
@@ -115,12 +115,12 @@
     /// When [`ClaimRequesterEvent::Wakeup`] is due; none once decided.
     pub fn next_wakeup(&self) -> Option<Moment> {
         match self.phase {
-            Phase::Asking { until } | Phase::Pausing { until } => Some(until),
+            Phase::Voting { until } | Phase::BackingOff { until } => Some(until),
             Phase::Decided => None,
         }
     }
 
-    /// Ends without a decision, for example because the caller's deadline has passed. Returns
+    /// Ends without a decision, for example because the caller's deadline has passed. Returns the
     /// releases to send; the outcome is `not_run`. Does nothing after the decision.
     pub fn cancel(&mut self) -> Vec<ClaimRequesterAction> {
         if self.phase == Phase::Decided {
@@ -137,16 +137,16 @@
         event: ClaimRequesterEvent,
     ) -> Vec<ClaimRequesterAction> {
         match (self.phase, event) {
-            (Phase::Asking { until }, _) if time.now >= until => self.on_vote_timeout(time.now),
-            (Phase::Asking { .. }, ClaimRequesterEvent::Response { asked, response }) => {
+            (Phase::Voting { until }, _) if time.now >= until => self.on_vote_timeout(time.now),
+            (Phase::Voting { .. }, ClaimRequesterEvent::Response { asked, response }) => {
                 self.on_response(asked, response);
                 self.count_votes(time.now)
             }
-            (Phase::Asking { .. }, ClaimRequesterEvent::Failed { asked }) => {
-                self.vote(asked, Vote::Refused(ClaimRefusal::Silent));
+            (Phase::Voting { .. }, ClaimRequesterEvent::Failed { asked }) => {
+                self.record_vote(asked, Vote::Refused(ClaimRefusal::Silent));
                 self.count_votes(time.now)
             }
-            (Phase::Pausing { until }, _) if time.now >= until => self.ask(time.now),
+            (Phase::BackingOff { until }, _) if time.now >= until => self.ask(time.now),
             _ => Vec::new(),
         }
     }
@@ -155,11 +155,11 @@
         self.votes.clear();
         self.holders.clear();
         self.attempts_left = self.attempts_left.saturating_sub(1);
-        self.phase = Phase::Asking {
+        self.phase = Phase::Voting {
             until: now + self.settings.vote_timeout,
         };
         if self.group.is_empty() {
-            return self.refuse();
+            return self.decide_refused();
         }
         let body = ClaimRequestBody::Claim {
             key: self.key.clone(),
@@ -171,7 +171,7 @@
 
     fn on_vote_timeout(&mut self, now: Moment) -> Vec<ClaimRequesterAction> {
         for member in self.group.clone() {
-            self.vote(member, Vote::Refused(ClaimRefusal::Silent));
+            self.record_vote(member, Vote::Refused(ClaimRefusal::Silent));
         }
         self.count_votes(now)
     }
@@ -179,20 +179,21 @@
     fn on_response(&mut self, asked: InstanceId, response: ClaimResponse) {
         self.highest_epoch = self.highest_epoch.max(response.epoch);
         if response.from != asked {
-            self.vote(asked, Vote::Refused(ClaimRefusal::NotMember));
+            self.record_vote(asked, Vote::Refused(ClaimRefusal::NotMember));
             return;
         }
-        let is_mine = |key: &ClaimKey, claim: ClaimId| *key == self.key && claim == self.claim;
+        let is_current_claim =
+            |key: &ClaimKey, claim: ClaimId| *key == self.key && claim == self.claim;
         match response.body {
-            ClaimResponseBody::Granted { key, claim } if is_mine(&key, claim) => {
-                self.vote(asked, Vote::Granted);
+            ClaimResponseBody::Granted { key, claim } if is_current_claim(&key, claim) => {
+                self.record_vote(asked, Vote::Granted);
             }
             ClaimResponseBody::Held {
                 key,
                 claim,
                 holders,
-            } if is_mine(&key, claim) => {
-                self.vote(asked, Vote::Held);
+            } if is_current_claim(&key, claim) => {
+                self.record_vote(asked, Vote::Held);
                 for holder in holders {
                     self.holders.entry(holder).or_default().insert(asked);
                 }
@@ -201,15 +202,15 @@
                 key,
                 claim,
                 refusal,
-            } if is_mine(&key, claim) => {
-                self.vote(asked, Vote::Refused(refusal));
+            } if is_current_claim(&key, claim) => {
+                self.record_vote(asked, Vote::Refused(refusal));
             }
             _ => {}
         }
     }
 
-    /// Records the first vote of a member of the group.
-    fn vote(&mut self, member: InstanceId, vote: Vote) {
+    /// Records the first vote of a member of the group and ignores later ones.
+    fn record_vote(&mut self, member: InstanceId, vote: Vote) {
         if self.group.contains(&member) {
             self.votes.entry(member).or_insert(vote);
         }
@@ -222,23 +223,23 @@
             .values()
             .filter(|vote| **vote == Vote::Granted)
             .count();
-        let open = self.group.len() - self.votes.len();
+        let outstanding = self.group.len() - self.votes.len();
         if granted >= needed {
             return self.grant();
         }
-        if granted + open >= needed {
+        if granted + outstanding >= needed {
             return Vec::new();
         }
         let is_held_by_majority = self.holders.values().any(|members| members.len() >= needed);
         let is_held = !self.holders.is_empty();
-        // Whoever is held off by a majority need not try again, and so need not wait for others.
+        // A key held by a majority cannot be won by a retry, so no backoff is needed.
         if is_held && !is_held_by_majority && self.attempts_left > 0 {
-            return self.pause(now);
+            return self.back_off(now);
         }
         if is_held {
-            self.report_holders()
+            self.decide_held()
         } else {
-            self.refuse()
+            self.decide_refused()
         }
     }
 
@@ -247,7 +248,7 @@
         let grant = ClaimGrant {
             key: self.key.clone(),
             holder: ClaimHolder {
-                owner: self.me,
+                owner: self.own_instance,
                 claim: self.claim,
             },
             expires: self.expires,
@@ -256,36 +257,41 @@
         vec![ClaimRequesterAction::Decide(ClaimDecision::Granted(grant))]
     }
 
-    /// The ballot split. The requester whose instance is lowest of those seen keeps its votes and
-    /// asks again soon; any other gives its votes up and comes back later, after that one.
-    fn pause(&mut self, now: Moment) -> Vec<ClaimRequesterAction> {
+    /// The vote split. The requester with the lowest instance among the known holders keeps its
+    /// votes and retries soon; any other releases its votes and retries later than that one.
+    fn back_off(&mut self, now: Moment) -> Vec<ClaimRequesterAction> {
         let attempt = self.settings.maximum_attempts - self.attempts_left;
         let unit = self.settings.split_backoff * 2_u32.saturating_pow(attempt.min(8) - 1);
-        let is_first = self.holders.keys().all(|holder| self.me <= holder.owner);
-        let (actions, pause) = if is_first {
+        let is_lowest = self
+            .holders
+            .keys()
+            .all(|holder| self.own_instance <= holder.owner);
+        let (actions, backoff) = if is_lowest {
             (Vec::new(), unit)
         } else {
-            (self.release(), unit * 2 + self.random_part_of(unit * 2))
+            (self.release(), unit * 2 + self.random_up_to(unit * 2))
         };
         self.claim.attempt += 1;
-        self.phase = Phase::Pausing { until: now + pause };
+        self.phase = Phase::BackingOff {
+            until: now + backoff,
+        };
         actions
     }
 
-    fn random_part_of(&mut self, longest: Duration) -> Duration {
+    fn random_up_to(&mut self, longest: Duration) -> Duration {
         let micros = u64::try_from(longest.as_micros())
             .unwrap_or(u64::MAX)
             .max(1);
         Duration::from_micros(self.random.random_range(0..micros))
     }
 
-    fn report_holders(&mut self) -> Vec<ClaimRequesterAction> {
+    fn decide_held(&mut self) -> Vec<ClaimRequesterAction> {
         let holders = self.holders.keys().copied().collect();
         self.give_up(ClaimDecision::HeldBy { holders })
     }
 
-    fn refuse(&mut self) -> Vec<ClaimRequesterAction> {
-        let reason = self.main_reason();
+    fn decide_refused(&mut self) -> Vec<ClaimRequesterAction> {
+        let reason = self.most_frequent_reason();
         self.give_up(ClaimDecision::Refused {
             reason,
             retry_after: self.retry_after(reason),
@@ -300,7 +306,8 @@
         actions
     }
 
-    /// Releases go to the whole group: a claim message may still be under way to a silent member.
+    /// Releases go to the whole group: a claim request may still be in flight to a member that has
+    /// not answered.
     fn release(&self) -> Vec<ClaimRequesterAction> {
         let body = ClaimRequestBody::Release {
             key: self.key.clone(),
@@ -311,13 +318,13 @@
     }
 
     fn send_to_group(&self, body: &ClaimRequestBody) -> Vec<ClaimRequesterAction> {
-        requests(self.me, self.epoch, &self.group, body)
+        requests_to_each(self.own_instance, self.epoch, &self.group, body)
             .into_iter()
             .map(ClaimRequesterAction::Send)
             .collect()
     }
 
-    fn main_reason(&self) -> ClaimRefusal {
+    fn most_frequent_reason(&self) -> ClaimRefusal {
         let mut counts: BTreeMap<ClaimRefusal, usize> = BTreeMap::new();
         for vote in self.votes.values() {
             if let Vote::Refused(refusal) = vote {
--- a/crates/tansylead-cluster/src/claims/table.rs
+++ b/crates/tansylead-cluster/src/claims/table.rs
@@ -1,6 +1,6 @@
-//! The claims a member holds, bounded in number; each is dropped after its expiry and the skew.
-//! A key can have several holders after copying from members that saw different attempts; it is
-//! granted to nobody then.
+//! The claims that a member holds, bounded in number; each is removed after its expiry plus clock
+//! skew. A key can have several holders after copying from members that saw different attempts; it
+//! is not granted to anyone then.
 
 use super::expiry::add_millis;
 use super::message::{ClaimHolder, ClaimKey, ClaimRefusal, CopiedClaim};
@@ -9,12 +9,12 @@
 use std::ops::Bound;
 use tansylead_types::WallTime;
 
-/// One attempt of one owner.
+/// Claim of one attempt of one owner.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     holder: ClaimHolder,
     expires: WallTime,
-    /// The owner gave it up; kept so that a late message does not bring the claim back.
+    /// The owner released it; kept so that a late message does not restore the claim.
     released: bool,
 }
 
@@ -24,13 +24,13 @@
     }
 }
 
-/// Result of asking for a claim.
+/// Result of [`ClaimTable::claim`].
 pub(super) enum TableAnswer {
-    /// Recorded now or before.
+    /// Recorded now or earlier.
     Granted,
     /// Held by others.
     Held(Vec<ClaimHolder>),
-    /// Neither.
+    /// Not recorded, and not held by others.
     Refused(ClaimRefusal),
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl ClaimTable {
-    /// Entries held, including remembered releases.
+    /// Number of entries, including releases.
     pub(super) fn len(&self) -> usize {
         self.count
     }
@@ -56,7 +56,7 @@
         wall: WallTime,
         settings: &ClaimSettings,
     ) -> TableAnswer {
-        self.drop_expired_of(key, wall, settings);
+        self.drop_expired_of_key(key, wall, settings);
         if self.is_abandoned(key, holder) {
             return TableAnswer::Refused(ClaimRefusal::Abandoned);
         }
@@ -88,7 +88,7 @@
         TableAnswer::Granted
     }
 
-    /// Forgets this attempt and earlier ones of its sequence, and remembers that they are over.
+    /// Removes this attempt and earlier ones of its sequence, and records that they are released.
     pub(super) fn release(
         &mut self,
         key: &ClaimKey,
@@ -97,16 +97,16 @@
         wall: WallTime,
         settings: &ClaimSettings,
     ) {
-        self.drop_expired_of(key, wall, settings);
-        let is_over =
+        self.drop_expired_of_key(key, wall, settings);
+        let is_released =
             |entry: &Entry| entry.is_same_sequence(holder) && entry.holder.claim <= holder.claim;
-        self.retain(key, |entry| !is_over(entry));
+        self.retain(key, |entry| !is_released(entry));
         let has_later = self
             .entries
             .get(key)
             .is_some_and(|list| list.iter().any(|entry| entry.is_same_sequence(holder)));
-        let is_remembered = add_millis(expires, settings.clock_skew) > wall;
-        if !has_later && is_remembered && self.count < settings.maximum_claims {
+        let is_current = add_millis(expires, settings.clock_skew) > wall;
+        if !has_later && is_current && self.count < settings.maximum_claims {
             self.push(
                 key,
                 Entry {
@@ -118,14 +118,14 @@
         }
     }
 
-    /// Takes over a claim that another member holds. Several holders of one key are all kept.
+    /// Inserts a claim copied from another member. Several holders of one key are all kept.
     pub(super) fn insert_copied(
         &mut self,
         copied: &CopiedClaim,
         wall: WallTime,
         settings: &ClaimSettings,
     ) {
-        self.drop_expired_of(&copied.key, wall, settings);
+        self.drop_expired_of_key(&copied.key, wall, settings);
         let is_expired = add_millis(copied.expires, settings.clock_skew) <= wall;
         if is_expired || self.is_abandoned(&copied.key, copied.holder) {
             return;
@@ -144,7 +144,7 @@
         );
     }
 
-    /// Holders of a key other than `holder`.
+    /// Current holders of a key other than `holder`.
     pub(super) fn other_holders(
         &self,
         key: &ClaimKey,
@@ -162,7 +162,8 @@
             .collect()
     }
 
-    /// Up to `limit` claims after a key, for which `is_wanted` holds, and where to continue.
+    /// Claims of the keys after `after` for which `is_wanted` holds, and the key to continue after.
+    /// The page ends with the key at which it reaches `limit` claims.
     pub(super) fn page(
         &self,
         after: Option<&ClaimKey>,
@@ -188,7 +189,7 @@
         (claims, None)
     }
 
-    /// Drops every entry whose expiry and skew have passed.
+    /// Removes every entry whose expiry plus clock skew has passed.
     pub(super) fn drop_expired(&mut self, wall: WallTime, settings: &ClaimSettings) {
         let is_current = |entry: &Entry| add_millis(entry.expires, settings.clock_skew) > wall;
         self.entries.retain(|_, list| {
@@ -198,7 +199,7 @@
         self.count = self.entries.values().map(Vec::len).sum();
     }
 
-    fn drop_expired_of(&mut self, key: &ClaimKey, wall: WallTime, settings: &ClaimSettings) {
+    fn drop_expired_of_key(&mut self, key: &ClaimKey, wall: WallTime, settings: &ClaimSettings) {
         self.retain(key, |entry| {
             add_millis(entry.expires, settings.clock_skew) > wall
         });
@@ -206,17 +207,17 @@
 
     /// Whether the owner has released this attempt or started a later one.
     fn is_abandoned(&self, key: &ClaimKey, holder: ClaimHolder) -> bool {
-        let is_over = |entry: &Entry| {
+        let is_abandoned = |entry: &Entry| {
             let is_released = entry.released && entry.holder.claim >= holder.claim;
             entry.is_same_sequence(holder) && (is_released || entry.holder.claim > holder.claim)
         };
         self.entries
             .get(key)
-            .is_some_and(|list| list.iter().any(is_over))
+            .is_some_and(|list| list.iter().any(is_abandoned))
     }
 
     fn push(&mut self, key: &ClaimKey, entry: Entry) {
-        // Nearly every key has one entry; the default capacity would be four.
+        // Nearly every key has one entry; the default capacity is four.
         let list = self.entries.entry(key.clone());
         list.or_insert_with(|| Vec::with_capacity(1)).push(entry);
         self.count += 1;
--- a/crates/tansylead-cluster/src/claims/transfer.rs
+++ b/crates/tansylead-cluster/src/claims/transfer.rs
@@ -1,5 +1,5 @@
-//! Taking over the claims of earlier views: which members of those views have been sealed and
-//! copied, which are dead, and for which keys that is enough to grant.
+//! Transfer of claims from earlier views: which members of those views have been sealed and copied,
+//! which are dead, and for which keys that suffices to grant.
 
 use super::group::{GROUP_SIZE, claim_group, majority, seal_quorum};
 use super::message::{ClaimKey, CopiedPage};
@@ -7,32 +7,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tansylead_types::{ClaimView, EarlierClaimView, InstanceId, Moment};
 
-/// Epoch of the only view that has no earlier one.
+/// Epoch of the first view, the only one without earlier views.
 const FIRST_EPOCH: u64 = 1;
 
-/// What is known of one member of an earlier view.
+/// State of one member of an earlier view.
 #[derive(Debug, Clone)]
 enum Source {
     /// Nothing received yet.
     Unanswered,
     /// Sealed; the pages up to `after` are copied. The epochs are those of the first page: a source
-    /// that became complete between two pages may hold claims that the first one lacked.
+    /// that became complete between two pages may hold claims that the first page lacked.
     Copying {
         after: Option<ClaimKey>,
         complete_epochs: BTreeSet<u64>,
     },
-    /// Sealed and copied as a whole.
+    /// Sealed and completely copied.
     Copied { complete_epochs: BTreeSet<u64> },
-    /// Another run of the daemon answered at its address: it can grant nothing, and its claims
-    /// are lost.
+    /// A later run of the daemon answered at its address: this run can no longer grant, and its
+    /// claims are lost.
     Dead,
 }
 
-/// Progress of one member towards one view.
+/// Progress of one member in copying the claims it needs for one view.
 #[derive(Debug, Clone)]
 pub(super) struct Transfer {
     earlier: Vec<EarlierClaimView>,
-    /// False if claims may exist in a view that this one does not name.
+    /// False if claims may exist in a view that this one does not list.
     knows_earlier: bool,
     sources: BTreeMap<InstanceId, Source>,
     wait_until: Option<Moment>,
@@ -41,7 +41,7 @@
 
 impl Transfer {
     /// Starts for a newly adopted view. `own_complete_epochs` are the epochs in which this member
-    /// held all claims of its keys; it is its own source for views it belonged to.
+    /// held all claims of its keys; it is its own source for views that it belonged to.
     pub(super) fn new(
         me: InstanceId,
         view: &ClaimView,
@@ -67,25 +67,26 @@
         }
     }
 
-    /// Whether every claim that may be in force for any key is held, or has expired by waiting.
+    /// Whether every earlier claim that may be in force for any key is held, or the wait for its
+    /// expiry is over.
     pub(super) fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// When the wait for earlier claims to expire ends, if it has begun.
+    /// When the wait for earlier claims to expire ends, if it has started.
     pub(super) fn wait_until(&self) -> Option<Moment> {
         self.wait_until.filter(|_| !self.is_complete)
     }
 
-    /// Whether some member is still to be asked.
-    pub(super) fn has_unfinished(&self) -> bool {
-        let is_unfinished =
+    /// Whether some source is not fully copied and not dead.
+    pub(super) fn has_pending_sources(&self) -> bool {
+        let is_pending =
             |source: &Source| matches!(source, Source::Unanswered | Source::Copying { .. });
-        !self.is_complete && self.sources.values().any(is_unfinished)
+        !self.is_complete && self.sources.values().any(is_pending)
     }
 
-    /// Members still to be asked, and the key to continue after.
-    pub(super) fn unfinished(&self) -> Vec<(InstanceId, Option<ClaimKey>)> {
+    /// Sources that are not fully copied and not dead, with the key to continue after.
+    pub(super) fn pending_sources(&self) -> Vec<(InstanceId, Option<ClaimKey>)> {
         if self.is_complete {
             return Vec::new();
         }
@@ -94,16 +95,16 @@
             Source::Copying { after, .. } => Some(after.clone()),
             Source::Copied { .. } | Source::Dead => None,
         };
-        let unfinished =
+        let pending =
             |(instance, source): (&InstanceId, &Source)| Some((*instance, next_page(source)?));
-        self.sources.iter().filter_map(unfinished).collect()
+        self.sources.iter().filter_map(pending).collect()
     }
 
-    /// Notes a page from a source. Returns false if it is not the page asked for next.
+    /// Records a page from a source. Returns false if it is not the expected page.
     pub(super) fn on_page(&mut self, from: InstanceId, page: &CopiedPage) -> bool {
-        let of_page: BTreeSet<u64> = page.complete_epochs.iter().copied().collect();
+        let page_epochs: BTreeSet<u64> = page.complete_epochs.iter().copied().collect();
         let (expected, complete_epochs) = match self.sources.get(&from) {
-            Some(Source::Unanswered) => (None, of_page),
+            Some(Source::Unanswered) => (None, page_epochs),
             Some(Source::Copying {
                 after,
                 complete_epochs,
@@ -113,29 +114,29 @@
         if page.after != expected {
             return false;
         }
-        let progress = match &page.next {
+        let source = match &page.next {
             Some(next) => Source::Copying {
                 after: Some(next.clone()),
                 complete_epochs,
             },
             None => Source::Copied { complete_epochs },
         };
-        self.sources.insert(from, progress);
+        self.sources.insert(from, source);
         true
     }
 
-    /// Notes that another, later run answered at a source's address.
+    /// Records that another run answered at a source's address; a later one means that it is dead.
     pub(super) fn on_successor(&mut self, dead: InstanceId, successor: InstanceId) {
         let is_successor = successor.node == dead.node && successor.boot > dead.boot;
         if let Some(source) = self.sources.get_mut(&dead).filter(|_| is_successor) {
-            // Claims copied as a whole stay valid: the source was sealed before it died.
+            // Completely copied claims stay valid: the source was sealed before it died.
             if !matches!(source, Source::Copied { .. }) {
                 *source = Source::Dead;
             }
         }
     }
 
-    /// Starts and ends the wait for earlier claims, and recomputes completeness.
+    /// Starts and ends the wait for earlier claims to expire, and updates completeness.
     pub(super) fn advance(&mut self, now: Moment, settings: &ClaimSettings) {
         if self.is_complete || !self.knows_earlier {
             return;
@@ -163,7 +164,7 @@
         self.knows_earlier && self.earlier.iter().enumerate().all(is_covered)
     }
 
-    /// Whether so few members are missing that every possible group has enough copied ones.
+    /// Whether so few members are missing that every possible group contains enough copied ones.
     fn has_copied_all_groups(&self) -> bool {
         self.earlier.iter().enumerate().all(|(position, view)| {
             let group = view.members.len().min(GROUP_SIZE);
@@ -176,7 +177,7 @@
         })
     }
 
-    /// A majority of the view is sealed or dead, so no member of it can renew its lease.
+    /// Whether a majority of the view is sealed or dead, so that no member can renew its lease.
     fn cannot_grant(&self, view: &EarlierClaimView) -> bool {
         let is_stopped = |instance: InstanceId| {
             !matches!(self.sources.get(&instance), Some(Source::Unanswered) | None)
@@ -189,8 +190,8 @@
         stopped >= majority(view.members.len())
     }
 
-    /// Whether the claims copied from a member stand for a view. In the oldest view the member
-    /// must also have held the claims of the views before it.
+    /// Whether the claims copied from a member count for a view. In the oldest view the member must
+    /// also have held the claims of the views before it.
     fn is_usable(&self, instance: InstanceId, is_oldest: bool, epoch: u64) -> bool {
         match self.sources.get(&instance) {
             Some(Source::Copied { complete_epochs }) => {
--- a/crates/tansylead-cluster/tests/claims_rules.rs
+++ b/crates/tansylead-cluster/tests/claims_rules.rs
@@ -328,13 +328,13 @@
 fn a_repeated_key_gets_its_answer_until_it_expires() {
     let mut cache = AnswerCache::new(ClaimSettings::default(), 2_000, 3);
     let (expires, wall) = (expires_in(10_000), WallTime(WALL));
-    let Begin::Claim(claim) = cache.begin(&key("a"), expires, wall) else {
+    let BeginOutcome::Claim(claim) = cache.begin(&key("a"), expires, wall) else {
         panic!("a new key starts");
     };
     let known = cache.begin(&key("a"), expires, wall);
-    assert_eq!(known, Begin::Known(AnswerStatus::InProgress));
-    cache.not_run(&key("a"), claim);
-    let Begin::Claim(again) = cache.begin(&key("a"), expires, wall) else {
+    assert_eq!(known, BeginOutcome::Known(AnswerStatus::InProgress));
+    cache.mark_not_run(&key("a"), claim);
+    let BeginOutcome::Claim(again) = cache.begin(&key("a"), expires, wall) else {
         panic!("a key that did not run starts again");
     };
     assert_eq!(
@@ -345,9 +345,9 @@
     let finished = AnswerStatus::Finished(Box::new(answer(1_000)));
     assert_eq!(
         cache.begin(&key("a"), expires, wall),
-        Begin::Known(finished)
+        BeginOutcome::Known(finished)
     );
-    let Begin::Claim(second) = cache.begin(&key("b"), expires, wall) else {
+    let BeginOutcome::Claim(second) = cache.begin(&key("b"), expires, wall) else {
         panic!("another key starts");
     };
     cache.finish(&key("b"), second, answer(1_000));
@@ -358,18 +358,18 @@
     );
     assert_eq!(
         cache.begin(&key("a"), expires, wall),
-        Begin::Known(AnswerStatus::Unknown)
+        BeginOutcome::Known(AnswerStatus::Unknown)
     );
     assert!(cache.bytes() <= 2_000);
     assert!(matches!(
         cache.begin(&key("c"), expires, wall),
-        Begin::Claim(_)
+        BeginOutcome::Claim(_)
     ));
-    assert_eq!(cache.begin(&key("d"), expires, wall), Begin::Full);
+    assert_eq!(cache.begin(&key("d"), expires, wall), BeginOutcome::Full);
     let after = expires_in(10_500);
     assert!(matches!(
         cache.begin(&key("d"), expires_in(20_000), after),
-        Begin::Claim(_)
+        BeginOutcome::Claim(_)
     ));
     assert_eq!(
         (cache.keys(), cache.bytes()),
--- a/crates/tansylead-cluster/tests/claims_world/root.rs
+++ b/crates/tansylead-cluster/tests/claims_world/root.rs
@@ -93,7 +93,7 @@
         let Some((view, _)) = daemon.view.clone() else {
             return;
         };
-        let Begin::Claim(claim) = daemon.cache.begin(&name, expires, time.wall) else {
+        let BeginOutcome::Claim(claim) = daemon.cache.begin(&name, expires, time.wall) else {
             return;
         };
         let terms = ClaimTerms {
@@ -167,12 +167,12 @@
             }
             ClaimDecision::HeldBy { .. } => {
                 self.counts.held += 1;
-                daemon.cache.not_run(&key, claim);
+                daemon.cache.mark_not_run(&key, claim);
             }
             ClaimDecision::Refused { .. } => {
                 self.counts.refused += 1;
                 self.refusals.push(self.now);
-                daemon.cache.not_run(&key, claim);
+                daemon.cache.mark_not_run(&key, claim);
             }
         }
     }
@@ -205,7 +205,7 @@
         self.counts.released += 1;
         self.daemons[node]
             .cache
-            .not_run(&grant.key, grant.holder.claim);
+            .mark_not_run(&grant.key, grant.holder.claim);
         let view = self.daemons[node].view.clone();
         for request in view
             .iter()
--- a/crates/tansylead-daemon/src/claims/execution.rs
+++ b/crates/tansylead-daemon/src/claims/execution.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tansylead_cluster::claims::{
-    AnswerStatus, Begin, ClaimDecision, ClaimGrant, ClaimHolder, ClaimId, ClaimKey, ClaimTerms,
-    check_before_dispatch,
+    AnswerStatus, BeginOutcome, ClaimDecision, ClaimGrant, ClaimHolder, ClaimId, ClaimKey,
+    ClaimTerms, check_before_dispatch,
 };
 use tansylead_types::{ClaimView, Moment, Outcome, QueryAnswer, RequestId, ServiceName, WallTime};
 
@@ -113,13 +113,13 @@
             .lock()
             .begin(&self.key, self.expires, wall);
         match begin {
-            Begin::Known(status) => Permission::Answer(Box::new(self.known(status))),
-            Begin::Full => {
+            BeginOutcome::Known(status) => Permission::Answer(Box::new(self.known(status))),
+            BeginOutcome::Full => {
                 let reason = "too many keys are in use".to_owned();
                 let answer = self.not_run(reason, Some(RETRY_AFTER_IN_PROGRESS));
                 Permission::Answer(Box::new(answer))
             }
-            Begin::Claim(claim) => self.claim(claim).await,
+            BeginOutcome::Claim(claim) => self.claim(claim).await,
         }
     }
 
@@ -136,7 +136,7 @@
 
     async fn claim(&self, claim: ClaimId) -> Permission {
         let Some(view) = self.claims.view() else {
-            self.claims.answers.lock().not_run(&self.key, claim);
+            self.claims.answers.lock().mark_not_run(&self.key, claim);
             let reason = "there are no claim members yet".to_owned();
             let answer = self.not_run(reason, Some(RETRY_AFTER_WITHOUT_VIEW));
             return Permission::Answer(Box::new(answer));
@@ -154,7 +154,7 @@
                 return Permission::Dispatch(Box::new(permit));
             }
             ClaimDecision::HeldBy { holders } => {
-                self.claims.answers.lock().not_run(&self.key, claim);
+                self.claims.answers.lock().mark_not_run(&self.key, claim);
                 self.answer_of_holders(&holders).await
             }
             ClaimDecision::Refused {
@@ -162,7 +162,7 @@
                 retry_after,
                 ..
             } => {
-                self.claims.answers.lock().not_run(&self.key, claim);
+                self.claims.answers.lock().mark_not_run(&self.key, claim);
                 let reason = format!("no majority of claim members: {reason:?}");
                 self.not_run(reason, Some(retry_after))
             }
@@ -197,7 +197,10 @@
 
     /// Nothing was or will be dispatched under the permit.
     fn abandon(&self, permit: &Permit) {
-        self.claims.answers.lock().not_run(&self.key, permit.claim);
+        self.claims
+            .answers
+            .lock()
+            .mark_not_run(&self.key, permit.claim);
         let view = self
             .claims
             .view()
--- a/crates/tansylead-lab/src/simulation/daemon/claims.rs
+++ b/crates/tansylead-lab/src/simulation/daemon/claims.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tansylead_cluster::claims::{
-    AnswerCache, AnswerStatus, Begin, ClaimDecision, ClaimGrant, ClaimHolder, ClaimKey,
+    AnswerCache, AnswerStatus, BeginOutcome, ClaimDecision, ClaimGrant, ClaimHolder, ClaimKey,
     ClaimMember, ClaimMemberEvent, ClaimMemberStatus, ClaimRequest, ClaimRequestBody,
     ClaimRequester, ClaimRequesterAction, ClaimRequesterEvent, ClaimResponse, ClaimResponseBody,
     ClaimSettings, ClaimTerms, ClaimTime, ClaimViewPlanner, ClaimViewRepair, ClaimViewRepairStep,
@@ -122,12 +122,12 @@
             return self.refuse(&query, "the expiry is too near or too far", outbox);
         }
         let claim = match self.claims.answers.begin(&key, expires, clocks.wall) {
-            Begin::Claim(claim) => claim,
-            Begin::Known(status) => return self.answer_known(&query, status, outbox),
-            Begin::Full => return self.refuse(&query, "too many keys", outbox),
+            BeginOutcome::Claim(claim) => claim,
+            BeginOutcome::Known(status) => return self.answer_known(&query, status, outbox),
+            BeginOutcome::Full => return self.refuse(&query, "too many keys", outbox),
         };
         let Some((view, _)) = self.configuration.claim_view() else {
-            self.claims.answers.not_run(&key, claim);
+            self.claims.answers.mark_not_run(&key, claim);
             return self.refuse(&query, "there is no claim view", outbox);
         };
         let terms = ClaimTerms {
@@ -214,11 +214,11 @@
                 self.on_granted(clocks, claiming.query, grant, outbox);
             }
             ClaimDecision::HeldBy { holders } => {
-                self.claims.answers.not_run(&claiming.key, claim);
+                self.claims.answers.mark_not_run(&claiming.key, claim);
                 self.look_up(clocks, claiming.query, claiming.key, holders, outbox);
             }
             ClaimDecision::Refused { reason, .. } => {
-                self.claims.answers.not_run(&claiming.key, claim);
+                self.claims.answers.mark_not_run(&claiming.key, claim);
                 self.refuse(&claiming.query, &format!("no claim: {reason:?}"), outbox);
             }
         }
@@ -262,7 +262,9 @@
 
     /// Nothing was and nothing will be dispatched under the grant.
     fn release(&mut self, grant: &ClaimGrant, outbox: &mut Outbox<'_>) {
-        self.claims.answers.not_run(&grant.key, grant.holder.claim);
+        self.claims
+            .answers
+            .mark_not_run(&grant.key, grant.holder.claim);
         let Some((view, _)) = self.configuration.claim_view() else {
             return;
         };
