--- a/crates/tansylead-cluster/src/routing/rate_shares.rs
+++ b/crates/tansylead-cluster/src/routing/rate_shares.rs
@@ -1,25 +1,24 @@
-//! How much of the table's limit one root of a (service, place) may use now.
+//! The share of the table's limit that one root of a (service, place) may use now.
 //!
-//! Owns the base share of each slot this daemon holds and the loans to and from the other roots.
-//! With K slots, each slot stands for 1/K of the limit, whoever holds it.
+//! Owns the base share of each slot that this daemon holds and the loans to and from other roots.
+//! With K slots, each slot is worth 1/K of the limit, whichever root holds it.
 //!
 //! **Guaranteed**: the usable parts of all roots sum to at most the whole limit at every moment,
 //! under loss, delay, duplication and reordering of messages, silence, restarts and pauses of
 //! roots, if
-//! (a) no two running roots hold different owners or numbers of slots for longer than
-//! [`ShareTiming::longest_view_lag`] in a row, pauses of at most `longest_pause` included;
+//! (a) no two running roots have different views of the owners or the number of slots for longer
+//! than [`ShareTiming::longest_view_lag`] in a row, including pauses of at most `longest_pause`;
 //! (b) clocks, which must count suspended time, differ in rate by less than `margin / lease`;
-//! (c) [`RateShares::usable`] is asked right before each admission, or its result is not used past
+//! (c) [`RateShares::usable`] is called right before each admission, or its result is not used after
 //! [`RateShares::valid_until`].
-//! Nothing is assumed about messages: without any, loans lapse and every root is at its base share.
+//! Nothing is assumed about messages: without any, loans expire and every root has its base share.
 //! Roots that apply a changed limit or hour at different times admit at most the larger limit.
 //!
-//! **Not guaranteed**: while views differ for longer than that (a place cut in two, each half
-//! with its own roots, or a slot that goes to and fro so that each holder misses the other's
-//! turns), each side admits up to one limit, so two views admit at most twice the limit. If
-//! within one takeover time several changes follow each other, and each moves a right of a root
-//! that missed the one before, the lag allowed is the takeover time divided by their number plus
-//! one.
+//! **Not guaranteed**: while views differ for longer than that (a partitioned place, each half with
+//! its own roots, or a slot that alternates between two holders so that each misses the other's
+//! turns), each side admits up to one limit, so two views admit at most twice the limit. If several
+//! changes occur within one takeover time, and each moves an allocation of a root that missed the
+//! previous one, the allowed lag is the takeover time divided by their number plus one.
 
 use super::share_lease::{BorrowedParts, LentParts};
 use super::share_message::{ShareMessage, ShareParts};
@@ -27,23 +26,23 @@
 use std::time::Duration;
 use tansylead_types::{InstanceId, Moment, NodeId};
 
-/// Share of its demand that a root keeps unlent beyond the demand itself.
+/// Multiple of its demand that a root keeps for itself and does not lend.
 const DEMAND_HEADROOM: f64 = 1.25;
 /// Smallest loan worth a message.
 const MINIMUM_LOAN: ShareParts = ShareParts(10_000);
 
-/// Time limits of the shares. The defaults satisfy the conditions named in the module.
+/// Time limits of the shares. The defaults satisfy the conditions in the module documentation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShareTiming {
-    /// How long a borrower uses a loan, from the moment it sent the ask.
+    /// How long a borrower uses a loan, from the moment it sent the request.
     pub lease: Duration,
-    /// How much longer than `lease` the lender holds the parts back, on its own clock.
+    /// How much longer than `lease` the lender reserves the parts, on its own clock.
     pub margin: Duration,
     /// How long the new holder of a slot waits before it uses the slot's base share.
     pub takeover: Duration,
-    /// A root that was not woken for longer than this treats its slots as newly taken over.
+    /// A root that handled no event for longer than this treats its slots as newly taken over.
     pub longest_pause: Duration,
-    /// Period of reports and asks.
+    /// Period of reports and loan requests.
     pub exchange_period: Duration,
 }
 
@@ -60,9 +59,9 @@
 }
 
 impl ShareTiming {
-    /// How long two roots may hold different owners without the limit being exceeded: until the
-    /// loans of a former holder have lapsed, and twice within the takeover time, because a root
-    /// that missed a change may still move its right at the next one.
+    /// How long two roots may have different views of the owners without exceeding the limit: the
+    /// loans of a former holder must have expired, and the lag must fit twice into the takeover
+    /// time, because a root that missed a change may still move its allocation at the next one.
     pub fn longest_view_lag(&self) -> Duration {
         let held = self.lease + self.margin;
         let until_lapsed = self.takeover.saturating_sub(held);
@@ -75,26 +74,26 @@
 pub enum ShareAction {
     /// Send a message to another root of the same service and place; loss is harmless.
     Send {
-        /// To whom.
+        /// Receiver.
         to: NodeId,
-        /// What.
+        /// Message.
         message: ShareMessage,
     },
 }
 
-/// The right to use one slot's base share.
+/// The base share of one slot that this root holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct SlotRight {
+struct SlotAllocation {
     /// Parts in use now.
     active: ShareParts,
-    /// Parts in use from `rises_at` on; never less than `active`.
+    /// Parts in use from `target_at` on; never less than `active`.
     target: ShareParts,
-    rises_at: Moment,
+    target_at: Moment,
 }
 
-impl SlotRight {
+impl SlotAllocation {
     fn parts(&self, now: Moment) -> ShareParts {
-        if now >= self.rises_at {
+        if now >= self.target_at {
             self.target
         } else {
             self.active
@@ -109,122 +108,124 @@
     timing: ShareTiming,
     limit: u32,
     demand: f64,
-    last_woken: Moment,
+    last_event_at: Moment,
     next_exchange: Moment,
-    slots: BTreeMap<usize, SlotRight>,
+    slots: BTreeMap<usize, SlotAllocation>,
     peers: BTreeSet<NodeId>,
-    spare_of_peers: BTreeMap<NodeId, ShareParts>,
+    peer_spare: BTreeMap<NodeId, ShareParts>,
     lent: LentParts,
     borrowed: BorrowedParts,
 }
 
 impl RateShares {
-    /// A root that holds no slot yet. Asks are numbered from the instance's boot time, so that a
-    /// grant meant for an earlier run at the same address answers no ask of this one.
+    /// A root that holds no slot yet. Requests are numbered from the instance's boot time, so that
+    /// a grant to an earlier run at the same address answers no request of this one.
     pub fn new(now: Moment, own: InstanceId, timing: ShareTiming) -> Self {
         Self {
             own_node: own.node,
             timing,
             limit: 0,
             demand: 0.0,
-            last_woken: now,
+            last_event_at: now,
             next_exchange: now,
             slots: BTreeMap::new(),
             peers: BTreeSet::new(),
-            spare_of_peers: BTreeMap::new(),
+            peer_spare: BTreeMap::new(),
             lent: LentParts::default(),
             borrowed: BorrowedParts::new(own.boot),
         }
     }
 
-    /// Puts the owners of the slots in force ([`super::ServingSet::roots`]). A slot that is lost,
-    /// or whose part of the limit shrinks, takes effect at once; a slot that is won, or whose part
-    /// grows, after the takeover time. A right moves with its owner from slot to slot: at any time
-    /// each of the rights in use stands for another slot, so their sum stays within the limit.
+    /// Sets the owners of the slots ([`super::ServingSet::roots`]). Losing a slot, or a smaller part
+    /// of the limit for it, takes effect at once; a new slot, or a larger part, takes effect after
+    /// the takeover time. An allocation moves with its owner from slot to slot: at any time each
+    /// allocation in use belongs to a different slot, so their sum stays within the limit.
     pub fn set_roots(&mut self, now: Moment, roots: &[NodeId]) {
-        self.note_pause(now);
+        self.handle_pause(now);
         let target = ShareParts(ShareParts::WHOLE.0 / (roots.len().max(1) as u32));
         let owned = roots.iter().enumerate();
         let owned = owned.filter(|(_, owner)| **owner == self.own_node);
         let slots: BTreeSet<usize> = owned.map(|(slot, _)| slot).collect();
-        // A right moves from a slot that is lost to one that is won in the same change.
+        // An allocation moves from a lost slot to one that is won in the same change.
         let lost = self.slots.iter().filter(|(slot, _)| !slots.contains(slot));
-        let mut moving: Vec<SlotRight> = lost.map(|(_, right)| *right).collect();
-        let mut rights = BTreeMap::new();
+        let mut moving: Vec<SlotAllocation> = lost.map(|(_, allocation)| *allocation).collect();
+        let mut allocations = BTreeMap::new();
         for slot in slots {
             let known = self.slots.get(&slot).copied().or_else(|| moving.pop());
-            rights.insert(slot, self.right_for(now, known, target));
+            allocations.insert(slot, self.allocation_for(now, known, target));
         }
-        self.slots = rights;
+        self.slots = allocations;
         self.peers = roots.iter().copied().collect();
         self.peers.remove(&self.own_node);
         let peers = &self.peers;
-        self.spare_of_peers.retain(|node, _| peers.contains(node));
+        self.peer_spare.retain(|node, _| peers.contains(node));
         if self.slots.is_empty() {
             self.borrowed.drop_all();
         }
     }
 
-    /// Sets the table's limit at this hour, in queries per second for the whole place.
+    /// Sets the table's limit for this hour, in queries per second for the whole place.
     pub fn set_limit(&mut self, limit: u32) {
         self.limit = limit;
     }
 
-    /// Reports the rate of queries that arrive here, admitted or not, in queries per second.
+    /// Sets the rate of queries that arrive here, admitted or not, in queries per second.
     pub fn set_demand(&mut self, demand: f64) {
         self.demand = demand;
     }
 
-    /// Takes a message of another root.
+    /// Handles a message from another root.
     pub fn on_message(
         &mut self,
         now: Moment,
         from: NodeId,
         message: ShareMessage,
     ) -> Vec<ShareAction> {
-        self.note_pause(now);
+        self.handle_pause(now);
         if !self.peers.contains(&from) || self.slots.is_empty() {
             return Vec::new();
         }
         match message {
             ShareMessage::Report { spare } => {
-                self.spare_of_peers.insert(from, spare);
+                self.peer_spare.insert(from, spare);
                 Vec::new()
             }
-            ShareMessage::Ask { ask, wanted } => self.on_ask(now, from, ask, wanted),
-            ShareMessage::Grant { ask, lent } => {
-                self.borrowed.on_grant(now, from, ask, lent);
+            ShareMessage::Request { request_id, wanted } => {
+                self.on_request(now, from, request_id, wanted)
+            }
+            ShareMessage::Grant { request_id, lent } => {
+                self.borrowed.on_grant(now, from, request_id, lent);
                 Vec::new()
             }
         }
     }
 
-    /// To be called at the moment of [`RateShares::next_wakeup`], or earlier.
+    /// Must be called no later than [`RateShares::next_wakeup`].
     pub fn on_wakeup(&mut self, now: Moment) -> Vec<ShareAction> {
-        self.note_pause(now);
-        self.lent.forget_lapsed(now);
-        self.borrowed.forget_lapsed(now);
+        self.handle_pause(now);
+        self.lent.drop_expired(now);
+        self.borrowed.drop_expired(now);
         if now < self.next_exchange || self.slots.is_empty() {
             return Vec::new();
         }
         self.next_exchange = now + self.timing.exchange_period;
         let mut actions = self.reports(now);
-        actions.extend(self.asks(now));
+        actions.extend(self.loan_requests(now));
         actions
     }
 
-    /// When [`RateShares::on_wakeup`] is wanted at the latest; none without a slot.
+    /// The latest time for the next [`RateShares::on_wakeup`]; none without a slot.
     pub fn next_wakeup(&self) -> Option<Moment> {
         (!self.slots.is_empty()).then_some(self.next_exchange)
     }
 
-    /// Parts of the limit that may be used now: base shares, less what is lent, plus what is
-    /// borrowed. Zero after a pause that the machine has not been woken from.
+    /// Parts of the limit that may be used now: base shares, minus what is lent, plus what is
+    /// borrowed. Zero after too long a pause, until the next event is handled.
     pub fn usable(&self, now: Moment) -> ShareParts {
         if self.has_paused(now) {
             return ShareParts::default();
         }
-        let own = self.base(now).minus(self.lent.total(now));
+        let own = self.base_share(now).minus(self.lent.total(now));
         own.plus(self.borrowed.total(now))
     }
 
@@ -233,56 +234,63 @@
         self.usable(now).rate(self.limit)
     }
 
-    /// Until when the result of [`RateShares::usable`] at `now` stands if nothing else happens: the
-    /// next lapse of a loan, or the longest pause.
+    /// Until when the result of [`RateShares::usable`] at `now` is valid if no event is handled: the
+    /// next change of a base share, expiry of a loan, or the longest pause.
     pub fn valid_until(&self, now: Moment) -> Moment {
-        let pause = self.last_woken + self.timing.longest_pause;
-        let rises = self.slots.values().map(|slot| slot.rises_at);
-        let changes = rises
-            .chain(self.lent.next_lapse())
-            .chain(self.borrowed.next_lapse());
+        let pause = self.last_event_at + self.timing.longest_pause;
+        let target_times = self.slots.values().map(|slot| slot.target_at);
+        let changes = target_times
+            .chain(self.lent.next_expiry())
+            .chain(self.borrowed.next_expiry());
         changes.filter(|at| *at > now).fold(pause, Moment::min)
     }
 
-    /// From when every slot held now has its full base share; the past once all have.
+    /// When every slot held now has its full base share; in the past once all have.
     pub fn full_at(&self) -> Moment {
-        let rises = self.slots.values().map(|slot| slot.rises_at);
-        rises.max().unwrap_or_default()
+        let target_times = self.slots.values().map(|slot| slot.target_at);
+        target_times.max().unwrap_or_default()
     }
 
-    fn base(&self, now: Moment) -> ShareParts {
+    fn base_share(&self, now: Moment) -> ShareParts {
         let parts = self.slots.values().map(|slot| slot.parts(now));
         parts.fold(ShareParts::default(), ShareParts::plus)
     }
 
     fn has_paused(&self, now: Moment) -> bool {
-        now.since(self.last_woken) > self.timing.longest_pause
+        now.since(self.last_event_at) > self.timing.longest_pause
     }
 
-    /// After a pause others may hold the slots: wait as if they were won just now.
-    fn note_pause(&mut self, now: Moment) {
+    /// After too long a pause other roots may hold the slots: wait as if they were won just now.
+    fn handle_pause(&mut self, now: Moment) {
         if self.has_paused(now) {
             for slot in self.slots.values_mut() {
                 slot.active = ShareParts::default();
-                slot.rises_at = now + self.timing.takeover;
+                slot.target_at = now + self.timing.takeover;
             }
         }
-        self.last_woken = self.last_woken.max(now);
+        self.last_event_at = self.last_event_at.max(now);
     }
 
-    fn right_for(&self, now: Moment, known: Option<SlotRight>, target: ShareParts) -> SlotRight {
-        let active = known.map(|right| right.parts(now)).unwrap_or_default();
+    fn allocation_for(
+        &self,
+        now: Moment,
+        known: Option<SlotAllocation>,
+        target: ShareParts,
+    ) -> SlotAllocation {
+        let active = known
+            .map(|allocation| allocation.parts(now))
+            .unwrap_or_default();
         match known {
-            Some(right) if right.target == target => right,
-            _ if target <= active => SlotRight {
+            Some(allocation) if allocation.target == target => allocation,
+            _ if target <= active => SlotAllocation {
                 active: target,
                 target,
-                rises_at: now,
+                target_at: now,
             },
-            _ => SlotRight {
+            _ => SlotAllocation {
                 active,
                 target,
-                rises_at: now + self.timing.takeover,
+                target_at: now + self.timing.takeover,
             },
         }
     }
@@ -291,30 +299,34 @@
         ShareParts::of_rate(self.demand * DEMAND_HEADROOM, self.limit)
     }
 
-    /// Own parts neither lent nor needed.
+    /// Own parts that are neither lent nor needed.
     fn spare(&self, now: Moment) -> ShareParts {
-        let own = self.base(now).minus(self.lent.total(now));
+        let own = self.base_share(now).minus(self.lent.total(now));
         own.minus(self.needed())
     }
 
-    fn on_ask(
+    fn on_request(
         &mut self,
         now: Moment,
         borrower: NodeId,
-        ask: u64,
+        request_id: u64,
         wanted: ShareParts,
     ) -> Vec<ShareAction> {
-        // A renewal replaces the borrower's earlier loan, so only loans to others are in the way.
-        let lent_to_borrower = self.lent.held_for(now, borrower);
+        // A renewal replaces the borrower's earlier loan, so only loans to others reduce what is
+        // available.
+        let lent_to_borrower = self.lent.reserved_for(now, borrower);
         let lent_to_others = self.lent.total(now).minus(lent_to_borrower);
-        let available = self.base(now).minus(lent_to_others).minus(self.needed());
+        let available = self
+            .base_share(now)
+            .minus(lent_to_others)
+            .minus(self.needed());
         let lent = wanted.min(available);
         if lent < MINIMUM_LOAN {
             return Vec::new();
         }
         let until = now + self.timing.lease + self.timing.margin;
         self.lent.lend(borrower, lent, until);
-        let message = ShareMessage::Grant { ask, lent };
+        let message = ShareMessage::Grant { request_id, lent };
         vec![ShareAction::Send {
             to: borrower,
             message,
@@ -328,12 +340,13 @@
         self.peers.iter().map(send).collect()
     }
 
-    /// Asks for the parts that own base shares do not cover, first from peers with most to spare.
-    fn asks(&mut self, now: Moment) -> Vec<ShareAction> {
-        let own = self.base(now).minus(self.lent.total(now));
+    /// Requests the parts that own base shares do not cover, first from the peers that can lend
+    /// most.
+    fn loan_requests(&mut self, now: Moment) -> Vec<ShareAction> {
+        let own = self.base_share(now).minus(self.lent.total(now));
         let mut shortfall = self.needed().minus(own);
         let mut peers: Vec<(ShareParts, NodeId)> = Vec::new();
-        for (&node, &spare) in &self.spare_of_peers {
+        for (&node, &spare) in &self.peer_spare {
             peers.push((spare.plus(self.borrowed.from(now, node)), node));
         }
         peers.sort_unstable_by(|left, right| right.cmp(left));
@@ -343,8 +356,8 @@
             if wanted < MINIMUM_LOAN {
                 continue;
             }
-            let ask = self.borrowed.open_ask(now, to, self.timing.lease);
-            let message = ShareMessage::Ask { ask, wanted };
+            let request_id = self.borrowed.open_request(now, to, self.timing.lease);
+            let message = ShareMessage::Request { request_id, wanted };
             actions.push(ShareAction::Send { to, message });
             shortfall = shortfall.minus(wanted);
         }
--- a/crates/tansylead-cluster/src/routing/share_lease.rs
+++ b/crates/tansylead-cluster/src/routing/share_lease.rs
@@ -1,20 +1,20 @@
-//! Both sides of lending parts of a limit.
+//! Loans of parts of a limit between roots.
 //!
-//! Owns [`LentParts`] (what this root must not use) and [`BorrowedParts`] (what it may use for a
-//! while). Safety rests on two rules that need no common clock:
-//! - the lender's hold starts when it *receives* the ask and lasts the lease plus a margin, the
-//!   borrower's lease starts when it *sent* the ask, and so always ends first;
+//! Owns [`LentParts`] (what this root must not use) and [`BorrowedParts`] (what it may use until the
+//! lease expires). Safety rests on two rules that need no common clock:
+//! - the lender's reservation starts when it *receives* the request and lasts the lease plus a
+//!   margin, the borrower's lease starts when it *sent* the request, and so always ends first;
 //! - a borrower holds one loan from each lender at a time: a new one replaces the old one, so the
-//!   lender holds back the largest of the loans it granted to one borrower, not their sum.
+//!   lender reserves the largest of the loans it granted to one borrower, not their sum.
 
 use super::share_message::ShareParts;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tansylead_types::{Moment, NodeId};
 
-/// One loan as the lender sees it.
+/// Parts lent or borrowed, until a moment on this root's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Hold {
+struct Loan {
     parts: ShareParts,
     until: Moment,
 }
@@ -22,49 +22,49 @@
 /// Parts lent to peers.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LentParts {
-    holds: BTreeMap<NodeId, Vec<Hold>>,
+    loans: BTreeMap<NodeId, Vec<Loan>>,
 }
 
 impl LentParts {
-    /// Parts held back now.
+    /// Parts reserved for borrowers now.
     pub fn total(&self, now: Moment) -> ShareParts {
-        let held = self.holds.keys().map(|&node| self.held_for(now, node));
-        held.fold(ShareParts::default(), ShareParts::plus)
+        let reserved = self.loans.keys().map(|&node| self.reserved_for(now, node));
+        reserved.fold(ShareParts::default(), ShareParts::plus)
     }
 
-    /// Parts held back for one borrower: the largest of its loans.
-    pub fn held_for(&self, now: Moment, borrower: NodeId) -> ShareParts {
-        let holds = self.holds.get(&borrower).into_iter().flatten();
-        let active = holds.filter(|hold| now < hold.until);
-        active.map(|hold| hold.parts).max().unwrap_or_default()
+    /// Parts reserved for one borrower: the largest of its loans.
+    pub fn reserved_for(&self, now: Moment, borrower: NodeId) -> ShareParts {
+        let loans = self.loans.get(&borrower).into_iter().flatten();
+        let active = loans.filter(|loan| now < loan.until);
+        active.map(|loan| loan.parts).max().unwrap_or_default()
     }
 
-    /// Notes a loan.
+    /// Records a loan.
     pub fn lend(&mut self, borrower: NodeId, parts: ShareParts, until: Moment) {
-        let holds = self.holds.entry(borrower).or_default();
-        // A hold that is no larger and ends no later never decides the maximum.
-        holds.retain(|hold| hold.parts > parts || hold.until > until);
-        holds.push(Hold { parts, until });
+        let loans = self.loans.entry(borrower).or_default();
+        // A loan that is no larger and ends no later never determines the maximum.
+        loans.retain(|loan| loan.parts > parts || loan.until > until);
+        loans.push(Loan { parts, until });
     }
 
-    /// Forgets what has lapsed.
-    pub fn forget_lapsed(&mut self, now: Moment) {
-        for holds in self.holds.values_mut() {
-            holds.retain(|hold| now < hold.until);
+    /// Removes what has expired.
+    pub fn drop_expired(&mut self, now: Moment) {
+        for loans in self.loans.values_mut() {
+            loans.retain(|loan| now < loan.until);
         }
-        self.holds.retain(|_, holds| !holds.is_empty());
+        self.loans.retain(|_, loans| !loans.is_empty());
     }
 
-    /// When the next hold ends.
-    pub fn next_lapse(&self) -> Option<Moment> {
-        let holds = self.holds.values().flatten();
-        holds.map(|hold| hold.until).min()
+    /// When the next loan expires.
+    pub fn next_expiry(&self) -> Option<Moment> {
+        let loans = self.loans.values().flatten();
+        loans.map(|loan| loan.until).min()
     }
 }
 
-/// One ask without an answer.
+/// A loan request without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct OpenAsk {
+struct PendingRequest {
     lender: NodeId,
     lease_until: Moment,
 }
@@ -72,17 +72,17 @@
 /// Parts borrowed from peers.
 #[derive(Debug, Clone)]
 pub(super) struct BorrowedParts {
-    next_ask: u64,
-    open: BTreeMap<u64, OpenAsk>,
-    loans: BTreeMap<NodeId, Hold>,
+    next_request_id: u64,
+    pending: BTreeMap<u64, PendingRequest>,
+    loans: BTreeMap<NodeId, Loan>,
 }
 
 impl BorrowedParts {
-    /// No loans; asks are numbered from `first_ask`.
-    pub fn new(first_ask: u64) -> Self {
+    /// No loans; requests are numbered from `first_request_id`.
+    pub fn new(first_request_id: u64) -> Self {
         Self {
-            next_ask: first_ask,
-            open: BTreeMap::new(),
+            next_request_id: first_request_id,
+            pending: BTreeMap::new(),
             loans: BTreeMap::new(),
         }
     }
@@ -94,58 +94,64 @@
         parts.fold(ShareParts::default(), ShareParts::plus)
     }
 
-    /// Parts that may be used now of what one lender lent.
+    /// Parts borrowed from one lender that may be used now.
     pub fn from(&self, now: Moment, lender: NodeId) -> ShareParts {
         let loan = self.loans.get(&lender);
         let active = loan.filter(|loan| now < loan.until);
         active.map(|loan| loan.parts).unwrap_or_default()
     }
 
-    /// Opens an ask; the lease of its loan starts now.
-    pub fn open_ask(&mut self, now: Moment, lender: NodeId, lease: Duration) -> u64 {
-        let ask = self.next_ask;
-        self.next_ask += 1;
+    /// Registers a new request; the lease of its loan starts now.
+    pub fn open_request(&mut self, now: Moment, lender: NodeId, lease: Duration) -> u64 {
+        let request_id = self.next_request_id;
+        self.next_request_id += 1;
         let lease_until = now + lease;
-        self.open.insert(
-            ask,
-            OpenAsk {
+        self.pending.insert(
+            request_id,
+            PendingRequest {
                 lender,
                 lease_until,
             },
         );
-        ask
+        request_id
     }
 
-    /// Takes a grant; false if it answers no open ask of this lender or came too late.
-    pub fn on_grant(&mut self, now: Moment, lender: NodeId, ask: u64, parts: ShareParts) -> bool {
-        if self.open.get(&ask).map(|open| open.lender) != Some(lender) {
+    /// Applies a grant; false if it answers no pending request to this lender or came too late.
+    pub fn on_grant(
+        &mut self,
+        now: Moment,
+        lender: NodeId,
+        request_id: u64,
+        parts: ShareParts,
+    ) -> bool {
+        if self.pending.get(&request_id).map(|request| request.lender) != Some(lender) {
             return false;
         }
-        let Some(open) = self.open.remove(&ask) else {
+        let Some(pending) = self.pending.remove(&request_id) else {
             return false;
         };
-        let in_time = now < open.lease_until;
-        if in_time {
-            let until = open.lease_until;
-            self.loans.insert(lender, Hold { parts, until });
+        let is_in_time = now < pending.lease_until;
+        if is_in_time {
+            let until = pending.lease_until;
+            self.loans.insert(lender, Loan { parts, until });
         }
-        in_time
+        is_in_time
     }
 
-    /// Gives up all loans and open asks.
+    /// Drops all loans and pending requests.
     pub fn drop_all(&mut self) {
-        self.open.clear();
+        self.pending.clear();
         self.loans.clear();
     }
 
-    /// Forgets what has lapsed.
-    pub fn forget_lapsed(&mut self, now: Moment) {
-        self.open.retain(|_, open| now < open.lease_until);
+    /// Removes what has expired.
+    pub fn drop_expired(&mut self, now: Moment) {
+        self.pending.retain(|_, request| now < request.lease_until);
         self.loans.retain(|_, loan| now < loan.until);
     }
 
-    /// When the next loan ends.
-    pub fn next_lapse(&self) -> Option<Moment> {
+    /// When the next loan expires.
+    pub fn next_expiry(&self) -> Option<Moment> {
         self.loans.values().map(|loan| loan.until).min()
     }
 }
--- a/crates/tansylead-cluster/tests/rate_shares/main.rs
+++ b/crates/tansylead-cluster/tests/rate_shares/main.rs
@@ -1,4 +1,4 @@
-//! Shares of a limit never sum above it, follow demand, and fall back to base shares in silence.
+//! Shares of a limit never sum above it, follow demand, and return to base shares without messages.
 
 #[path = "../common/fuzz.rs"]
 mod fuzz;
@@ -12,7 +12,7 @@
 use tansylead_types::{InstanceId, Moment, NodeId};
 use world::{Flaw, Operation, World, operation};
 
-/// The flaws are found with these cases, whatever is run by hand.
+/// Configuration that finds the flaws, whatever `FUZZ_SEED` and `FUZZ_CASES` say.
 fn fixed_config(cases: u32) -> Config {
     Config {
         cases,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The oracle keeps no state: the sum is checked at every event inside the world.
+/// Reference without state: the world itself checks the sum at every event.
 struct AnyOperations;
 
 impl ReferenceStateMachine for AnyOperations {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Whether the same operations find a sum above the limit.
+/// Whether the same kind of operations finds a sum above the limit.
 fn finds_violation(flaw: Flaw) -> bool {
     let operations = proptest::collection::vec(operation(), 1..80);
     let run = |operations: Vec<Operation>| {
@@ -87,11 +87,11 @@
             .try_for_each(|operation| world.apply(operation));
         outcome.map_err(TestCaseError::fail)
     };
-    let shrink_free = Config {
+    let without_shrinking = Config {
         max_shrink_iters: 0,
         ..fixed_config(400)
     };
-    let outcome = TestRunner::new(shrink_free).run(&operations, run);
+    let outcome = TestRunner::new(without_shrinking).run(&operations, run);
     matches!(outcome, Err(TestError::Fail(..)))
 }
 
@@ -120,7 +120,7 @@
         .apply(&Operation::Demand { node: 0, rate: 700 })
         .expect("set");
     run(&mut world, 2_000);
-    // 700 queries per second with a quarter of headroom, of a limit of 1,000.
+    // 700 queries per second plus a quarter of headroom, of a limit of 1,000.
     assert_eq!(
         (world.usable(0), world.usable(1)),
         (ShareParts(875_000), ShareParts(125_000))
@@ -146,7 +146,7 @@
     let half = ShareParts(500_000);
     let mut world = World::new(Flaw::None);
     run(&mut world, 9_000);
-    // Root 0 leaves, root 1 moves to its slot, root 2 is new.
+    // Root 0 leaves, root 1 moves to its slot, root 2 joins.
     world.apply(&Operation::Rotate { node: 2 }).expect("set");
     for _ in 0..40 {
         run(&mut world, 100);
@@ -176,8 +176,8 @@
     assert_eq!(world.usable(1), ShareParts(500_000));
 }
 
-/// Starts a borrower that sees a lender with everything to spare; gives its first ask.
-fn borrower_with_ask(boot: u64) -> (RateShares, u64) {
+/// Starts a borrower whose peer can lend all its parts; returns the id of its first loan request.
+fn borrower_with_request(boot: u64) -> (RateShares, u64) {
     let [own, lender] = [1, 2].map(|port| NodeId(([127, 0, 0, 1], port).into()));
     let mut shares = RateShares::new(
         Moment(0),
@@ -189,27 +189,27 @@
     shares.set_roots(Moment(0), &[own, lender]);
     let spare = ShareParts(500_000);
     shares.on_message(Moment(0), lender, ShareMessage::Report { spare });
-    let mut asks = shares.on_wakeup(Moment(0)).into_iter();
-    let ask = asks.find_map(|ShareAction::Send { message, .. }| match message {
-        ShareMessage::Ask { ask, .. } => Some(ask),
+    let mut requests = shares.on_wakeup(Moment(0)).into_iter();
+    let request_id = requests.find_map(|ShareAction::Send { message, .. }| match message {
+        ShareMessage::Request { request_id, .. } => Some(request_id),
         _ => None,
     });
-    (shares, ask.expect("asks the lender"))
+    (shares, request_id.expect("asks the lender"))
 }
 
 #[test]
 fn a_grant_for_an_earlier_run_answers_no_ask_of_this_one() {
     let lender = NodeId(([127, 0, 0, 1], 2).into());
-    let (_, earlier_ask) = borrower_with_ask(1_000_000);
+    let (_, earlier_request_id) = borrower_with_request(1_000_000);
     let late = ShareMessage::Grant {
-        ask: earlier_ask,
+        request_id: earlier_request_id,
         lent: ShareParts(400_000),
     };
-    let (mut restarted, _) = borrower_with_ask(2_000_000);
+    let (mut restarted, _) = borrower_with_request(2_000_000);
     restarted.on_message(Moment(1), lender, late);
     assert_eq!(restarted.usable(Moment(1)), ShareParts(0));
-    // The broken variant: asks numbered alike after a restart.
-    let (mut broken, _) = borrower_with_ask(1_000_000);
+    // The fault: request numbers repeat after a restart.
+    let (mut broken, _) = borrower_with_request(1_000_000);
     broken.on_message(Moment(1), lender, late);
     assert_eq!(broken.usable(Moment(1)), ShareParts(400_000));
 }
@@ -217,7 +217,7 @@
 #[test]
 fn messages_survive_the_codec_and_stay_small() {
     let message = ShareMessage::Grant {
-        ask: u64::MAX,
+        request_id: u64::MAX,
         lent: ShareParts::WHOLE,
     };
     let bytes = postcard::to_stdvec(&message).expect("encodes");
--- a/crates/tansylead-cluster/tests/rate_shares/world.rs
+++ b/crates/tansylead-cluster/tests/rate_shares/world.rs
@@ -1,6 +1,6 @@
-//! Roots with their own clocks, pauses and views, over a network that loses, delays, duplicates
-//! and reorders, in virtual time. The oracle is one line: the usable parts of all running roots sum
-//! to at most the whole.
+//! Simulates roots with their own clocks, pauses and views, over a network that loses, delays,
+//! duplicates and reorders messages, in virtual time. The check: the usable parts of all running
+//! roots sum to at most the whole limit.
 
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -16,10 +16,10 @@
 /// Clock rates in per mille; they differ by less than margin / lease.
 const CLOCK_RATES: [u64; NODES] = [980, 1_000, 1_020, 1_000];
 
-/// How late views reach a root that runs; a pause delays them further.
+/// Longest delay until a view reaches a running root; a pause delays it further.
 const LONGEST_LAG_WITH_PAUSES: Duration = Duration::from_millis(1_800);
 
-/// A way in which the roots or the conditions they rely on are broken.
+/// A deliberate fault in the roots or in the conditions they rely on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
     None,
@@ -52,7 +52,7 @@
     Resize {
         slots: usize,
     },
-    /// A root goes and another comes; the owners of the other slots move by one.
+    /// The first owner leaves and another root joins; the other owners move by one slot.
     Rotate {
         node: usize,
     },
@@ -102,7 +102,7 @@
     random: StdRng,
     now: u64,
     sequence: u64,
-    boots: u64,
+    last_boot: u64,
     queue: BTreeMap<(u64, u64), (usize, Event)>,
     nodes: Vec<Node>,
     owners: Vec<usize>,
@@ -132,7 +132,7 @@
             random: StdRng::seed_from_u64(1),
             now: 0,
             sequence: 0,
-            boots: 0,
+            last_boot: 0,
             queue: BTreeMap::new(),
             nodes: Vec::new(),
             owners: vec![0, 1],
@@ -156,7 +156,7 @@
         world
     }
 
-    /// Roots never pause, and views come as late as the guarantee allows.
+    /// A world where roots never pause, and views arrive as late as the guarantee allows.
     pub fn without_pauses() -> Self {
         let mut world = Self::new(Flaw::None);
         world.has_pauses = false;
@@ -206,7 +206,7 @@
     }
 
     pub fn usable(&self, node: usize) -> ShareParts {
-        self.nodes[node].shares.usable(self.local(node))
+        self.nodes[node].shares.usable(self.local_time(node))
     }
 
     fn run_for(&mut self, micros: u64) -> Result<(), String> {
@@ -243,7 +243,7 @@
             self.schedule_after_pause(node, event, paused_since, paused_until);
             return;
         }
-        let now = self.local(node);
+        let now = self.local_time(node);
         let demand = f64::from(self.nodes[node].demand);
         let shares = &mut self.nodes[node].shares;
         let actions = match event {
@@ -268,14 +268,15 @@
         }
     }
 
-    /// What waits for a paused node reaches it when it wakes; a view after a long pause comes late.
+    /// Events for a paused node reach it when it resumes; a view after a long pause is delayed
+    /// further.
     fn schedule_after_pause(&mut self, node: usize, event: Event, since: u64, until: u64) {
         let is_long = until - since > micros(ShareTiming::default().longest_pause);
-        let late = match event {
+        let lag = match event {
             Event::View { .. } if is_long => self.view_lag(),
             _ => 0,
         };
-        self.schedule(until + late, node, event);
+        self.schedule(until + lag, node, event);
     }
 
     fn send(&mut self, from: usize, to: NodeId, message: ShareMessage) {
@@ -322,19 +323,19 @@
     }
 
     fn new_shares(&mut self, node: usize) -> RateShares {
-        self.boots += 1_000_000;
+        self.last_boot += 1_000_000;
         let own = InstanceId {
             node: node_id(node),
-            boot: self.boots,
+            boot: self.last_boot,
         };
-        let mut shares = RateShares::new(self.local(node), own, self.timing);
+        let mut shares = RateShares::new(self.local_time(node), own, self.timing);
         shares.set_limit(LIMIT);
         shares
     }
 
-    fn local(&self, node: usize) -> Moment {
-        let fast = self.flaw == Flaw::LenderClockRunsFast && node == 0;
-        let rate = if fast { 1_300 } else { CLOCK_RATES[node] };
+    fn local_time(&self, node: usize) -> Moment {
+        let is_fast = self.flaw == Flaw::LenderClockRunsFast && node == 0;
+        let rate = if is_fast { 1_300 } else { CLOCK_RATES[node] };
         Moment(1_000_000 * node as u64 + self.now * rate / 1_000)
     }
 
