--- a/crates/tansylead-cluster/examples/claim_costs.rs
+++ b/crates/tansylead-cluster/examples/claim_costs.rs
@@ -1,5 +1,5 @@
-//! Prints what claims cost: bytes of each message, memory and time of a member that holds as many
-//! claims as it may. `cargo run --release -p tansylead-cluster --example claim_costs`
+//! Prints the cost of claims: bytes of each message, and memory and time of a member that holds the
+//! maximum number of claims. `cargo run --release -p tansylead-cluster --example claim_costs`
 
 use std::time::Instant;
 use tansylead_cluster::claims::*;
@@ -34,7 +34,7 @@
     }
 }
 
-/// A key as long as a UUID.
+/// A claim request whose key is as long as a UUID.
 fn claim(number: u64) -> ClaimRequest {
     let key = ClaimKey {
         service: "cashier-lookup-1".parse().expect("valid name"),
@@ -59,12 +59,12 @@
     let pages: u64 = text
         .split_whitespace()
         .nth(1)
-        .and_then(|p| p.parse().ok())
+        .and_then(|pages| pages.parse().ok())
         .expect("pages");
     pages * PAGE_BYTES
 }
 
-fn bytes<T: serde::Serialize>(message: &T) -> usize {
+fn encoded_bytes<T: serde::Serialize>(message: &T) -> usize {
     postcard::to_stdvec(message).expect("messages encode").len()
 }
 
@@ -90,12 +90,15 @@
 
     let first = claim(0);
     let heartbeat = request(1, ClaimRequestBody::Heartbeat { sent: Moment(BOOT) });
-    println!("claim request {} B", bytes(&first));
-    println!("claim response {} B", bytes(&lone.on_request(time, &first)));
-    println!("heartbeat request {} B", bytes(&heartbeat));
+    println!("claim request {} B", encoded_bytes(&first));
+    println!(
+        "claim response {} B",
+        encoded_bytes(&lone.on_request(time, &first))
+    );
+    println!("heartbeat request {} B", encoded_bytes(&heartbeat));
     println!(
         "heartbeat response {} B",
-        bytes(&lone.on_request(time, &heartbeat))
+        encoded_bytes(&lone.on_request(time, &heartbeat))
     );
 
     let before = resident_bytes();
@@ -123,12 +126,12 @@
         epoch: 2,
         ..request(1, ClaimRequestBody::Copy { view, after: None })
     };
-    println!("copy request with 15 members {} B", bytes(&copy));
+    println!("copy request with 15 members {} B", encoded_bytes(&copy));
     let start = Instant::now();
     let page = lone.on_request(time, &copy);
     println!(
         "copy page of 1000 claims {} B, {} us",
-        bytes(&page),
+        encoded_bytes(&page),
         start.elapsed().as_micros()
     );
 }
--- a/crates/tansylead-cluster/tests/claim_handover.rs
+++ b/crates/tansylead-cluster/tests/claim_handover.rs
@@ -1,5 +1,5 @@
-//! A member that leaves is no longer needed once the next view's members have its claims, also if
-//! they asked before it had learned that view.
+//! A leaving member is no longer needed once the members of the next view have copied its claims,
+//! even if they asked before it had learned that view.
 
 use std::net::SocketAddr;
 use tansylead_cluster::claims::{
@@ -56,10 +56,10 @@
     member.on_event(TIME, event);
 }
 
-fn copy(member: &mut ClaimMember, asker: u8, view: &ClaimView) {
+fn copy_all(member: &mut ClaimMember, requester: u8, view: &ClaimView) {
     let request = ClaimRequest {
         epoch: view.epoch,
-        from: instance(asker),
+        from: instance(requester),
         to: instance(1),
         body: ClaimRequestBody::Copy {
             view: view.clone(),
@@ -74,10 +74,10 @@
     let (first, second) = views();
     let mut leaving = ClaimMember::new(instance(1), ClaimSettings::default(), TIME.now);
     learn(&mut leaving, &first);
-    copy(&mut leaving, 2, &second);
+    copy_all(&mut leaving, 2, &second);
     learn(&mut leaving, &second);
-    assert!(leaving.is_needed(), "one member has yet to copy");
-    copy(&mut leaving, 3, &second);
+    assert!(leaving.is_needed(), "one member still has to copy");
+    copy_all(&mut leaving, 3, &second);
     assert!(!leaving.is_needed());
 }
 
@@ -90,8 +90,8 @@
     };
     let mut leaving = ClaimMember::new(instance(1), ClaimSettings::default(), TIME.now);
     learn(&mut leaving, &first);
-    copy(&mut leaving, 2, &second);
-    copy(&mut leaving, 3, &second);
+    copy_all(&mut leaving, 2, &second);
+    copy_all(&mut leaving, 3, &second);
     learn(&mut leaving, &third);
     assert!(leaving.is_needed());
 }
--- a/crates/tansylead-cluster/tests/claim_view_repair.rs
+++ b/crates/tansylead-cluster/tests/claim_view_repair.rs
@@ -1,5 +1,5 @@
-//! A store restored to an older state: the view in force is written again until its generation is
-//! the view's epoch, and nobody grants in it before.
+//! After the store was restored to an older state, the view in force is written again until its
+//! generation equals the view's epoch, and no member grants in it before that.
 
 mod claims_support;
 
@@ -38,9 +38,9 @@
     repair.next_step(&view(), held, &answers_of(0..2), EPOCH)
 }
 
-/// Writes of planners by turns against a compare-and-set store of generations; with `loses_answer`,
-/// every second answer is lost after its write.
-fn writes_until_repaired(mut store: u64, planners: usize, loses_answer: bool) -> (u64, u64) {
+/// Lets planners write in turn to a compare-and-set store; with `loses_answer`, every second answer
+/// is lost after its write. Returns the final generation and the number of accepted writes.
+fn write_until_repaired(mut store: u64, planners: usize, loses_answer: bool) -> (u64, u64) {
     let mut repairs = vec![ClaimViewRepair::default(); planners];
     let mut accepted = 0;
     for repair in &mut repairs {
@@ -70,7 +70,7 @@
     // Generation 0: the restored store has no such object.
     for store in 0..EPOCH {
         for (planners, loses_answer) in [(1, false), (1, true), (3, false), (3, true)] {
-            let result = writes_until_repaired(store, planners, loses_answer);
+            let result = write_until_repaired(store, planners, loses_answer);
             assert_eq!(result, (EPOCH, EPOCH - store), "{planners} {loses_answer}");
         }
     }
@@ -80,8 +80,16 @@
 fn nothing_is_written_without_a_reason_or_against_a_newer_view() {
     use ClaimViewRepairStep::{NotNeeded, Wait, Write};
     let mut repair = ClaimViewRepair::default();
-    assert_eq!(step(repair, EPOCH), NotNeeded, "nothing is known");
-    assert_eq!(step(repair, EPOCH + 2), NotNeeded, "deleted and made again");
+    assert_eq!(
+        step(repair, EPOCH),
+        NotNeeded,
+        "no answer from the store yet"
+    );
+    assert_eq!(
+        step(repair, EPOCH + 2),
+        NotNeeded,
+        "deleted and created again"
+    );
     let expected_generation = 3;
     let write = Write {
         expected_generation,
@@ -102,10 +110,10 @@
     let view = view();
     let minority = repair.next_step(&view, EPOCH, &answers_of([0]), EPOCH);
     assert_eq!(minority, Wait, "a newer view may be in force elsewhere");
-    let strangers = repair.next_step(&view, EPOCH, &answers_of(7..12), EPOCH);
-    assert_eq!(strangers, Wait, "not members of the view");
+    let others = repair.next_step(&view, EPOCH, &answers_of(7..12), EPOCH);
+    assert_eq!(others, Wait, "not members of the view");
     let newer = repair.next_step(&view, EPOCH, &answers_of(0..3), EPOCH + 1);
-    assert_eq!(newer, Wait, "somebody has heard of a newer view");
+    assert_eq!(newer, Wait, "a member has seen a newer view");
 }
 
 #[test]
@@ -142,7 +150,8 @@
             ..
         }
     ));
-    // Adopted before, the later one would be ignored, and the member could never be complete.
+    // If the earlier generation were adopted, this one would be ignored, and the member could never
+    // be complete.
     assert!(!late.on_event(time, learn(EPOCH)).is_empty());
     assert_eq!(late.status().epoch, EPOCH);
 }
--- a/crates/tansylead-cluster/tests/claims_rules.rs
+++ b/crates/tansylead-cluster/tests/claims_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of the claim machines one by one: members, requesters, expiry and answers.
+//! Rules of the claim state machines: members, requesters, expiry and the answer cache.
 
 mod claims_support;
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// A view of one member, which grants without asking anybody.
+/// The only member of a view; it grants without asking others.
 fn lone_member(settings: ClaimSettings) -> ClaimMember {
     let mut lone = ClaimMember::new(instance(0, 1), settings, Moment(0));
     let view = view_of(vec![member(0, 1, 0, 0)]);
@@ -92,7 +92,7 @@
     }
     assert!(
         is_granted(&lone.on_request(time_at(10_500), &other)),
-        "expired, and the skew passed"
+        "expired, and the clock skew has passed"
     );
 }
 
@@ -125,7 +125,7 @@
     let third = claim_request(instance(7, 1), 0, expires_in(10_000));
     assert!(
         !is_granted(&lone.on_request(time_at(5), &third)),
-        "a late release frees no other"
+        "a late release does not free another owner's claim"
     );
 }
 
@@ -182,7 +182,7 @@
 fn a_view_whose_predecessors_are_unknown_grants_nothing() {
     let mut lone = ClaimMember::new(instance(0, 1), ClaimSettings::default(), Moment(0));
     let view = view_of(vec![member(0, 1, 0, 0)]);
-    // Epoch 1 at generation 3: the object was deleted and made again.
+    // Epoch 1 at generation 3: the object was deleted and created again.
     lone.on_event(
         time_at(0),
         ClaimMemberEvent::ViewLearned {
@@ -234,32 +234,32 @@
     };
     let mut winners = 0;
     for round in 0..50 {
-        let mut table: Vec<ClaimMember> = (0..3).map(|_| lone_member(settings.clone())).collect();
-        let mut open: Vec<(ClaimRequester, Vec<ClaimRequesterAction>)> = (0..3)
+        let mut members: Vec<ClaimMember> = (0..3).map(|_| lone_member(settings.clone())).collect();
+        let mut roots: Vec<(ClaimRequester, Vec<ClaimRequesterAction>)> = (0..3)
             .map(|root| {
                 let (me, seed) = (instance(20 + root, 1), round * 10 + u64::from(root));
                 let terms = terms.clone();
                 ClaimRequester::start(me, settings.clone(), &view, terms, seed, time_at(0))
             })
             .collect();
-        for (root, (_, actions)) in open.iter_mut().enumerate() {
-            // Each root reaches another member first: one vote each.
+        for (root, (_, actions)) in roots.iter_mut().enumerate() {
+            // Each root reaches a different member first, so each gets one vote.
             actions.rotate_left(root);
         }
-        winners += run_ballot(&mut table, &mut open);
+        winners += run_vote(&mut members, &mut roots);
     }
-    assert_eq!(winners, 50, "every split has a winner");
+    assert_eq!(winners, 50, "every split vote ends with a winner");
 }
 
-/// Delivers one message of each root in turn, until all have decided; returns the winners.
-fn run_ballot(
+/// Delivers one message of each root in turn for 5 seconds; returns the number of winners.
+fn run_vote(
     members: &mut [ClaimMember],
-    open: &mut [(ClaimRequester, Vec<ClaimRequesterAction>)],
+    roots: &mut [(ClaimRequester, Vec<ClaimRequesterAction>)],
 ) -> u32 {
     let mut winners = 0;
     for millis in 0..5_000 {
         let time = time_at(millis);
-        for (requester, actions) in open.iter_mut() {
+        for (requester, actions) in roots.iter_mut() {
             if requester
                 .next_wakeup()
                 .is_some_and(|wakeup| wakeup <= time.now)
@@ -275,12 +275,12 @@
                 ClaimRequesterAction::Send(request) => {
                     let asked = request.to;
                     let index = usize::from(asked.node.0.port() - 7_000);
-                    // All three tables are lone members at node 0; the address is translated.
-                    let translated = ClaimRequest {
+                    // Each member is the only one of its view, at node 0, so the address is mapped.
+                    let mapped = ClaimRequest {
                         to: instance(0, 1),
                         ..request
                     };
-                    let response = members[index].on_request(time, &translated);
+                    let response = members[index].on_request(time, &mapped);
                     let response = ClaimResponse {
                         from: asked,
                         ..response
@@ -354,7 +354,7 @@
     assert_eq!(
         cache.status(&key("a"), wall),
         AnswerStatus::Unknown,
-        "dropped for room"
+        "evicted"
     );
     assert_eq!(
         cache.begin(&key("a"), expires, wall),
--- a/crates/tansylead-cluster/tests/claims_support/mod.rs
+++ b/crates/tansylead-cluster/tests/claims_support/mod.rs
@@ -1,4 +1,4 @@
-//! Names that the tests of claims share.
+//! Identifiers shared by the tests of claims.
 
 use tansylead_cluster::claims::ClaimKey;
 use tansylead_types::{ClaimViewMember, InstanceId, NodeId};
--- a/crates/tansylead-cluster/tests/claims_views.rs
+++ b/crates/tansylead-cluster/tests/claims_views.rs
@@ -1,4 +1,4 @@
-//! Rules of claim views: groups of members, and when a view changes.
+//! Rules of claim views: the group of a key, and when a view changes.
 
 mod claims_support;
 
@@ -15,9 +15,12 @@
         let key = key(&format!("key-{number}"));
         let by_place: BTreeSet<_> = claim_group(&places, &key)
             .iter()
-            .map(|m| &m.place)
+            .map(|member| &member.place)
+            .collect();
+        let by_zone: BTreeSet<_> = claim_group(&zones, &key)
+            .iter()
+            .map(|member| &member.zone)
             .collect();
-        let by_zone: BTreeSet<_> = claim_group(&zones, &key).iter().map(|m| &m.zone).collect();
         assert_eq!((by_place.len(), by_zone.len()), (GROUP_SIZE, GROUP_SIZE));
     }
 }
@@ -53,37 +56,37 @@
         .into_iter()
         .filter(|daemon| daemon.member.instance != lost)
         .collect();
-    let gone = BTreeSet::from([lost]);
-    let second = next_claim_view(Some(&first), &without, &gone, &complete).expect("a change");
+    let departed = BTreeSet::from([lost]);
+    let second = next_claim_view(Some(&first), &without, &departed, &complete).expect("a change");
     let stayed = second
         .members
         .iter()
-        .filter(|m| complete.contains(&m.instance))
+        .filter(|member| complete.contains(&member.instance))
         .count();
     assert_eq!((second.epoch, second.members.len(), stayed), (2, 15, 14));
     assert_eq!(second.earlier.len(), 1);
     assert_eq!(
-        next_claim_view(Some(&first), &without, &gone, &none),
+        next_claim_view(Some(&first), &without, &departed, &none),
         None,
         "not settled"
     );
 
     let few = live(0..6, 1);
-    let absent = |member: &ClaimViewMember| few.iter().all(|d| d.member != *member);
-    let gone = first
+    let is_absent = |member: &ClaimViewMember| few.iter().all(|daemon| daemon.member != *member);
+    let departed = first
         .members
         .iter()
-        .filter(|m| absent(m))
-        .map(|m| m.instance)
+        .filter(|member| is_absent(member))
+        .map(|member| member.instance)
         .collect();
     assert_eq!(
-        next_claim_view(Some(&first), &few, &gone, &complete),
+        next_claim_view(Some(&first), &few, &departed, &complete),
         None,
         "a minority"
     );
     let restarted = live(0..20, 2);
-    let everyone = next_claim_view(Some(&first), &restarted, &complete, &none);
-    assert_eq!(everyone.expect("all are known to be dead").earlier.len(), 1);
+    let replaced = next_claim_view(Some(&first), &restarted, &complete, &none);
+    assert_eq!(replaced.expect("all are known to be dead").earlier.len(), 1);
 }
 
 #[test]
