--- a/crates/tansylead-cluster/tests/claims_simulation.rs
+++ b/crates/tansylead-cluster/tests/claims_simulation.rs
@@ -1,5 +1,5 @@
-//! Simulation of claims under faults: at most one run of each key, and progress once faults stop.
-//! `CLAIM_SEEDS=from..to` runs other seeds, for longer runs by hand.
+//! Simulation of claims under faults: each key runs at most once, and keys run again once faults
+//! stop. `CLAIM_SEEDS=from..to` selects other seeds, for longer runs by hand.
 
 mod claims_world;
 
@@ -19,11 +19,11 @@
         let mut world = World::new(Plan::new(seed, Variant::Correct));
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
-        let stuck = world.healthy_keys_not_run();
+        let not_run = world.healthy_keys_not_run();
         assert!(
-            stuck.is_empty(),
-            "seed {seed}: {} keys did not run: {stuck:?}",
-            stuck.len()
+            not_run.is_empty(),
+            "seed {seed}: {} keys did not run: {not_run:?}",
+            not_run.len()
         );
         total.add(&world.counts);
         steps += world.steps;
@@ -31,8 +31,9 @@
     println!("seeds {:?}, steps {steps}, {total:#?}", seeds());
 }
 
-/// Nine daemons in three places with only these faults: when claims were refused, in milliseconds
-/// after the first fault (from, to), how many, and out of how many.
+/// Runs nine daemons in three places with only the scripted faults. Returns the times of the first
+/// and the last refusal in milliseconds after the first fault, the number of refusals since then,
+/// and the number of keys.
 fn refusals_after(script: &'static [(u64, ScriptedFault)]) -> (Option<(u64, u64)>, usize, usize) {
     let plan = Plan {
         daemons: 9,
@@ -73,8 +74,8 @@
     }
 }
 
-/// The first seed, counted from `from`, at which a broken variant is found out. Seeds that do not
-/// find it out are left out to save time.
+/// The violation found by the first seed from `from` on that detects a broken variant. Lower seeds,
+/// which do not detect it, are skipped to save time.
 fn first_violation(variant: Variant, from: u64) -> String {
     let mut worlds = (from..from + 60).map(|seed| {
         let mut world = World::new(Plan::new(seed, variant));
--- a/crates/tansylead-cluster/tests/claims_world/daemon.rs
+++ b/crates/tansylead-cluster/tests/claims_world/daemon.rs
@@ -1,5 +1,5 @@
-//! One daemon of the simulation: a claim member, claims under way as a root, an answer cache and a
-//! planner; and the broken variants, as wrappers around the real machines.
+//! One daemon of the simulation: a claim member, the claims in progress at it as a root, an answer
+//! cache and a planner; and the broken variants, as wrappers around the real state machines.
 
 use super::{Event, LONGEST_EXPIRY, MILLIS, SECONDS, World};
 use rand::RngExt;
@@ -10,29 +10,29 @@
 
 const CONFIGURATION_PERIOD: u64 = SECONDS;
 
-/// A deliberate fault in the protocol, to show that the oracle sees it.
+/// A deliberate fault in the protocol, to show that the oracle detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
     Correct,
-    /// A restarted member takes itself for the earlier run and grants with empty memory.
+    /// A restarted member keeps the instance of the earlier run and grants with empty memory.
     RestartKeepsInstance,
-    /// A member goes on granting in every epoch it ever knew.
+    /// A member continues to grant in every epoch it has ever known.
     NoEpochCheck,
-    /// A member hands its claims over without being sealed.
+    /// A member hands over its claims without being sealed.
     NoSealing,
-    /// One grant is taken for a majority.
+    /// One grant counts as a majority.
     SingleGrant,
-    /// Grants that arrive after the requester gave up are counted.
+    /// Grants that arrive after the requester gave up count.
     LateGrantUsed,
-    /// Heartbeats count as acknowledged although nobody answered.
+    /// Heartbeats count as acknowledged without an answer.
     NoLease,
-    /// Neither root nor leaf looks at the expiry.
+    /// Neither root nor leaf checks the expiry.
     NoExpiryCheck,
     /// A new member grants without the earlier claims.
     NoCopy,
 }
 
-/// Where a response goes: a run of a daemon, and the claim under way there, if it is for one.
+/// Where a response goes: a run of a daemon, and the claim in progress there if it is for one.
 #[derive(Debug, Clone, Copy)]
 pub struct Reply {
     pub node: usize,
@@ -44,14 +44,14 @@
     pub requester: ClaimRequester,
     pub key: usize,
     pub decided: bool,
-    /// Grants seen by the variant that counts late ones.
+    /// Grants seen by [`Variant::LateGrantUsed`].
     pub late_grants: BTreeMap<ClaimId, BTreeSet<InstanceId>>,
 }
 
 pub struct Daemon {
     pub instance: InstanceId,
     pub member: ClaimMember,
-    /// Members as they were in earlier epochs, for the variant without an epoch check.
+    /// Member state in earlier epochs, for [`Variant::NoEpochCheck`].
     earlier: BTreeMap<u64, (ClaimMember, ClaimView)>,
     pub view: Option<(ClaimView, u64)>,
     pub cache: AnswerCache,
@@ -66,7 +66,7 @@
     drift: i64,
     /// Reading of the monotonic clock at time 0.
     origin: u64,
-    /// Difference of the wall clock from true time, in milliseconds.
+    /// Offset of the wall clock from true time, in milliseconds.
     pub wall_offset: i64,
 }
 
@@ -89,11 +89,11 @@
 
 /// Index of the daemon an encoded request is addressed to.
 pub fn receiver(request: &[u8]) -> usize {
-    usize::from(addressee(request).node.0.port() - 7_000)
+    usize::from(receiver_instance(request).node.0.port() - 7_000)
 }
 
 /// The instance an encoded request is addressed to.
-pub fn addressee(request: &[u8]) -> InstanceId {
+pub fn receiver_instance(request: &[u8]) -> InstanceId {
     let request: ClaimRequest = postcard::from_bytes(request).expect("a request");
     request.to
 }
@@ -129,7 +129,7 @@
     pub fn impersonate(&mut self, old: InstanceId, now: u64) {
         self.instance = old;
         self.member = ClaimMember::new(old, settings(), self.moment(now));
-        // Claim ids must not repeat either, or members would take the claims for the same ones.
+        // Claim ids must not repeat, or members would treat new claims as the earlier ones.
         self.next_claim = now;
     }
 
@@ -163,8 +163,8 @@
     pub(super) fn tick(&mut self, node: usize) {
         let time = self.time(node);
         if self.now >= self.daemons[node].next_configuration {
-            // The variant that differs only between daemons of different views is found out where
-            // some daemons learn of views late.
+            // This variant differs only between daemons in different views, so some daemons learn
+            // views late.
             let is_slow = self.plan.variant == Variant::NoEpochCheck && node.is_multiple_of(3);
             let longest = if is_slow { 20_000 } else { 500 };
             let jitter = self.random.random_range(0..longest) * MILLIS;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The store, or a peer, shows a view; daemons learn it at different times.
+    /// Learns the view from the store or from a peer; daemons do so at different times.
     fn learn_view(&mut self, node: usize) {
         let peer = self.random.random_range(0..self.daemons.len());
         let from_store = self.can_reach_store(node) && self.random.random_bool(0.6);
@@ -232,18 +232,18 @@
         self.member_event(node, ClaimMemberEvent::ViewLearned { view, generation });
     }
 
-    /// Several daemons plan; the write arrives later and may race others.
+    /// Plans the next view; the write arrives later and may race writes of other daemons.
     fn plan_view(&mut self, node: usize) {
         if !self.can_reach_store(node) {
             return;
         }
-        let can_see = |other: usize| {
+        let is_visible = |other: usize| {
             self.can_reach(node, other) && self.daemons[other].frozen_until(self.now).is_none()
         };
-        let seen: Vec<usize> = (0..self.daemons.len())
-            .filter(|other| can_see(*other))
+        let visible: Vec<usize> = (0..self.daemons.len())
+            .filter(|other| is_visible(*other))
             .collect();
-        let live: Vec<LiveDaemon> = seen
+        let live: Vec<LiveDaemon> = visible
             .iter()
             .map(|other| live_daemon(*other, &self.daemons[*other]))
             .collect();
@@ -251,7 +251,7 @@
             let daemon = &self.daemons[*other];
             (daemon.instance, daemon.member.status())
         };
-        let statuses = seen.iter().map(status).collect();
+        let statuses = visible.iter().map(status).collect();
         let current = self.store.as_ref().map(|(view, _)| view);
         let planner = &mut self.daemons[node].planner;
         let Some(view) = planner.plan(Moment(self.now), current, &live, &statuses) else {
--- a/crates/tansylead-cluster/tests/claims_world/faults.rs
+++ b/crates/tansylead-cluster/tests/claims_world/faults.rs
@@ -1,12 +1,12 @@
-//! Faults: which are injected when, the network that loses, delays, duplicates and reorders, and
-//! counts of all of them.
+//! Fault injection, a network that loses, delays, duplicates and reorders messages, and counts of
+//! all faults.
 
-use super::daemon::{Daemon, Reply, addressee, receiver};
+use super::daemon::{Daemon, Reply, receiver, receiver_instance};
 use super::{Event, MILLIS, SECONDS, World};
 use rand::RngExt;
 use tansylead_types::InstanceId;
 
-/// Faults injected and results, by kind.
+/// Counts of injected faults and of results, by kind.
 #[derive(Debug, Default, Clone)]
 pub struct FaultCounts {
     pub lost: u64,
@@ -55,7 +55,7 @@
 }
 
 impl World {
-    /// One or two faults at once, then a pause.
+    /// Injects one or two faults at once and schedules the next ones after a pause.
     pub(super) fn inject_fault(&mut self) {
         if !self.has_faults() {
             return;
@@ -100,7 +100,7 @@
         self.daemons[node].freeze(until);
     }
 
-    /// Kills a daemon and starts it again at once with empty memory.
+    /// Kills a daemon and restarts it at once with empty memory.
     pub(super) fn restart(&mut self, node: usize) {
         self.counts.restarts += 1;
         let old = self.daemons[node].instance;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Puts a request on the network.
+    /// Sends a request over the network.
     pub(super) fn send_request(&mut self, from: Reply, request: Vec<u8>) {
         let to = receiver(&request);
         let delays = self.delays(from.node, to);
@@ -130,7 +130,7 @@
                 self.now + delay,
                 Event::Failed {
                     to: from,
-                    asked: addressee(&request),
+                    asked: receiver_instance(&request),
                 },
             );
         }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Puts a response on the network.
+    /// Sends a response over the network.
     pub(super) fn send_response(
         &mut self,
         from: usize,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Delay of each copy of a message that arrives; none if it is lost.
+    /// Delay of each delivered copy of a message; empty if it is lost.
     fn delays(&mut self, from: usize, to: usize) -> Vec<u64> {
         if from == to {
             return vec![0];
--- a/crates/tansylead-cluster/tests/claims_world/mod.rs
+++ b/crates/tansylead-cluster/tests/claims_world/mod.rs
@@ -1,5 +1,5 @@
-//! Many daemons, a store, a leaf and callers under virtual time, driving the real claim machines.
-//! The oracle is the leaf's own log: how often each key ran.
+//! Simulates daemons, a store, a leaf and callers in virtual time, driving the real claim state
+//! machines. The oracle is the leaf's own log: how often each key ran.
 
 mod daemon;
 mod faults;
@@ -23,29 +23,29 @@
 const TICK: u64 = 100 * MILLIS;
 pub const LONGEST_EXPIRY: Duration = Duration::from_secs(20);
 
-/// What one run does.
+/// Parameters of one simulation run.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
     pub seed: u64,
     pub daemons: usize,
-    /// Faults stop here.
+    /// Time at which faults stop.
     pub faults_until: u64,
-    /// Keys sent from here on, by every daemon, must run.
+    /// Keys created from this time on must run, whichever daemon gets them.
     pub healthy_from: u64,
     pub end: u64,
     pub variant: Variant,
-    /// Only long partitions that cut the smaller side off the store too.
+    /// Inject only long partitions, which also cut the smaller side off from the store.
     pub only_partitions: bool,
-    /// If not empty, only these faults.
+    /// If not empty, inject only these faults.
     pub script: &'static [(u64, ScriptedFault)],
 }
 
 /// A fault at a given time.
 #[derive(Debug, Clone, Copy)]
 pub enum ScriptedFault {
-    /// The daemon announces that it leaves.
+    /// The daemon announces that it is leaving.
     Leave(usize),
-    /// The daemon is killed and started again at once.
+    /// The daemon is killed and restarted at once.
     Restart(usize),
 }
 
@@ -118,14 +118,14 @@
     pub daemons: Vec<Daemon>,
     pub store: Option<(ClaimView, u64)>,
     pub store_up_at: u64,
-    /// Daemons of different sides cannot reach one another.
+    /// Side of the partition of each daemon; different sides cannot reach each other.
     pub sides: Vec<bool>,
     pub sides_until: u64,
     pub store_is_cut: bool,
     pub keys: Vec<KeyState>,
     pub counts: FaultCounts,
     pub violations: Vec<String>,
-    /// Times at which a requester was refused with nobody known to hold the key.
+    /// Times at which a requester was refused without a known holder of the key.
     pub refusals: Vec<u64>,
 }
 
@@ -166,7 +166,7 @@
         world
     }
 
-    /// Runs to the end or to the first violation.
+    /// Runs until the end or the first violation.
     pub fn run(&mut self) {
         while let Some(((time, _), event)) = self.queue.pop_first() {
             if time > self.plan.end || !self.violations.is_empty() {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Keys sent after the faults stopped that did not run.
+    /// Keys created in the healthy phase that did not run, except those of the last 10 seconds.
     pub fn healthy_keys_not_run(&self) -> Vec<String> {
         let healthy = self.plan.healthy_from..self.plan.end - 10 * SECONDS;
         let missing = |key: &&KeyState| healthy.contains(&key.created) && key.runs.is_empty();
@@ -202,7 +202,7 @@
         self.now >= self.store_up_at
     }
 
-    /// During some partitions one side cannot reach the store either.
+    /// During some partitions one side cannot reach the store.
     pub fn can_reach_store(&self, node: usize) -> bool {
         let is_cut = self.now < self.sides_until && self.store_is_cut && self.sides[node];
         self.store_is_up() && !is_cut
@@ -270,7 +270,7 @@
         }
     }
 
-    /// A key is sent several times, to different daemons, until shortly after its expiry.
+    /// Creates a key and sends it several times, to random daemons, until shortly after its expiry.
     fn new_key(&mut self) {
         let lifetime = self
             .random
@@ -298,18 +298,18 @@
         self.schedule(self.now + pause, Event::NewKey);
     }
 
-    /// The leaf refuses before running once its own clock has reached the expiry.
+    /// The leaf refuses a request without running it once its own clock has reached the expiry.
     fn on_leaf_arrival(&mut self, key: usize, expires: WallTime) {
         let offset = self.random.random_range(-200..=200);
-        let checks = self.plan.variant != Variant::NoExpiryCheck;
-        if checks && self.wall(offset) >= expires {
+        let checks_expiry = self.plan.variant != Variant::NoExpiryCheck;
+        if checks_expiry && self.wall(offset) >= expires {
             return;
         }
-        let late = self.wall(0).0 > expires.0 + 250;
+        let is_late = self.wall(0).0 > expires.0 + 250;
         let state = &mut self.keys[key];
         state.runs.push(self.now);
         self.counts.runs += 1;
-        if late || state.runs.len() > 1 {
+        if is_late || state.runs.len() > 1 {
             let text = format!(
                 "seed {}: {} ran at {:?}",
                 self.plan.seed, state.key.key, state.runs
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Compare-and-set. The writer reads back what is in force, so a lost answer changes nothing.
+    /// Compare-and-set. The writer reads the store again, so a lost answer changes nothing.
     fn on_store_write(&mut self, expected_generation: u64, view: ClaimView) {
         let generation = self.store.as_ref().map_or(0, |(_, generation)| *generation);
         if !self.store_is_up() {
--- a/crates/tansylead-cluster/tests/claims_world/root.rs
+++ b/crates/tansylead-cluster/tests/claims_world/root.rs
@@ -1,4 +1,4 @@
-//! A daemon of the simulation as a root: callers' keys, claims under way, dispatches, releases.
+//! A simulated daemon as a root: keys from callers, claims in progress, dispatches and releases.
 
 use super::daemon::{OpenClaim, Reply, Variant, encode, settings};
 use super::{Event, MILLIS, World};
@@ -85,8 +85,8 @@
     pub(super) fn on_caller(&mut self, node: usize, key: usize) {
         let time = self.time(node);
         let (name, expires) = (self.keys[key].key.clone(), self.keys[key].expires);
-        let checks = self.plan.variant != Variant::NoExpiryCheck;
-        if checks && check_before_dispatch(expires, time.wall, &settings()).is_err() {
+        let checks_expiry = self.plan.variant != Variant::NoExpiryCheck;
+        if checks_expiry && check_before_dispatch(expires, time.wall, &settings()).is_err() {
             return;
         }
         let daemon = &mut self.daemons[node];
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Right before sending: the expiry is checked. Some requests end as a truthful `not_run`.
+    /// Checks the expiry right before sending. Under faults, some requests end as `not_run`.
     pub(super) fn on_dispatch(&mut self, node: usize, instance: InstanceId, grant: &ClaimGrant) {
         if self.daemons[node].instance != instance {
             return;
