--- a/crates/tansylead-types/src/answer.rs
+++ b/crates/tansylead-types/src/answer.rs
@@ -4,15 +4,15 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Closed set of outcomes.
+/// What happened to a query. The set is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// Every shard of the pinned snapshot answered.
     Complete,
-    /// Some shards answered; the others are named with a reason.
+    /// Some shards answered; the others are listed with a reason.
     Partial,
-    /// No leaf ran any part of the request: safe to try again.
+    /// No leaf ran any part of the request: it is safe to retry.
     NotRun,
     /// The request may have run, fully or in part, and the result is not known.
     Unknown,
@@ -28,7 +28,7 @@
     DeadlineExceeded,
     /// Every replica tried refused for lack of capacity.
     Overloaded,
-    /// Attempts failed (connection, error answer) and nothing was left to try.
+    /// Attempts failed (connection, error answer) and no replica was left to try.
     Failed,
     /// The replicas no longer hold the pinned snapshot.
     SnapshotGone,
@@ -68,7 +68,7 @@
 /// Final answer to one query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueryAnswer {
-    /// Echo of the request id.
+    /// The request id, echoed.
     pub request: RequestId,
     /// What happened.
     pub outcome: Outcome,
@@ -78,16 +78,16 @@
     pub coverage: Coverage,
     /// Results, ordered by shard id.
     pub results: Vec<ShardResult>,
-    /// When to come back; set on `NotRun` and on `Partial` for lack of capacity.
+    /// When to retry; set on `NotRun`, and on `Partial` for lack of capacity.
     pub retry_after: Option<Duration>,
-    /// Why the query was refused or given up, in one line for people.
+    /// Why the query was refused or abandoned: one human-readable line.
     pub reason: Option<String>,
-    /// Attempts sent to leafs, for measuring extra load.
+    /// Number of attempts sent to leafs, to measure extra load.
     pub attempts: u32,
 }
 
 impl QueryAnswer {
-    /// An answer that no leaf had a part in.
+    /// An answer without results from any leaf.
     pub fn without_results(
         request: RequestId,
         outcome: Outcome,
--- a/crates/tansylead-types/src/config.rs
+++ b/crates/tansylead-types/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration objects that live in the platform's store and spread to every daemon.
+//! Configuration objects, kept in the platform's store and replicated to every daemon.
 
 use crate::{
     ChangeId, InstanceId, LeafId, PlaceName, ServiceName, ShardId, SnapshotVersion, TrafficTable,
@@ -8,13 +8,13 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// How long to wait once some shards have answered.
+/// How long to wait for the other shards once some have answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitPolicy {
-    /// Use the whole deadline to become complete (dispute files).
+    /// Use the whole deadline to get a complete answer (dispute files).
     WholeDeadline,
-    /// Answer partially this many milliseconds after the start, if the least coverage is reached.
+    /// Return a partial answer this long after the start, if the minimum coverage is reached.
     EarlyPartial {
         /// Milliseconds from the start of the query.
         after_millis: u64,
@@ -25,18 +25,18 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServicePolicy {
-    /// Deadline when the caller states none, in milliseconds.
+    /// Deadline if the caller gives none, in milliseconds.
     pub default_deadline_millis: u64,
-    /// Longest deadline a caller may ask for, in milliseconds.
+    /// Longest deadline that a caller may request, in milliseconds.
     pub maximum_deadline_millis: u64,
-    /// Least share of shards (0 to 1) for which a partial answer carries results and is useful;
+    /// Minimum share of shards (0 to 1) for which a partial answer carries results and is useful;
     /// below it the answer is still returned as partial with true coverage, but never early.
     pub minimum_coverage: f64,
-    /// How long to wait.
+    /// How long to wait for missing shards.
     pub wait: WaitPolicy,
     /// Whether requests without an idempotency key may be repeated.
     pub repeatable: bool,
-    /// Extra attempts (hedges and retries) allowed as a share of first attempts, in per cent.
+    /// Extra attempts (hedges and retries) allowed, in per cent of first attempts.
     pub retry_budget_percent: f64,
     /// Hedge after this quantile (0 to 1) of the service's learned attempt latency.
     pub hedge_quantile: f64,
@@ -80,9 +80,9 @@
     pub address: SocketAddr,
     /// Zone the leaf runs in.
     pub zone: ZoneName,
-    /// Requests it runs at once.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Connections it accepts from all daemons together.
+    /// Number of connections it accepts from all daemons together.
     pub maximum_connections: u32,
 }
 
@@ -116,25 +116,25 @@
     pub place: PlaceName,
     /// Leafs.
     pub leafs: Vec<LeafDescriptor>,
-    /// Snapshots that may be queried, any order.
+    /// Snapshots that may be queried, in any order.
     pub snapshots: Vec<Snapshot>,
 }
 
-/// Members entitled to grant claims for non-repeatable requests.
+/// Daemons that may grant claims for non-repeatable requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimView {
-    /// Grows by one with each change of members.
+    /// Incremented by each change of members.
     pub epoch: u64,
     /// Members with their zones.
     pub members: Vec<ClaimViewMember>,
-    /// Views whose claims the members must copy before they may grant: the last view that was
-    /// settled and every view after it, oldest first. Empty only in the first view of all.
+    /// Views whose claims the members must copy before they may grant: the last view whose members
+    /// held all earlier claims and every view after it, oldest first. Empty only in the first view.
     #[serde(default)]
     pub earlier: Vec<EarlierClaimView>,
 }
 
-/// A view that came before a [`ClaimView`] and whose claims may still be in force.
+/// A predecessor of a [`ClaimView`] whose claims may still be in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EarlierClaimView {
@@ -228,16 +228,16 @@
     }
 }
 
-/// An object as the store holds it and as daemons spread it.
+/// An object as the store holds it and as daemons replicate it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredObject {
     /// Key.
     pub key: ObjectKey,
-    /// Store revision of the last write to this object; revisions grow over the whole store.
+    /// Store revision of the last write to this object; revisions increase across the whole store.
     pub revision: u64,
-    /// Version of this object; grows by one with each write, also across deletion.
+    /// Version of this object; incremented by each write, also across deletion.
     pub generation: u64,
-    /// The write that made this generation.
+    /// The write that created this generation.
     pub change: ChangeId,
     /// Contents; none after deletion.
     pub object: Option<ConfigObject>,
--- a/crates/tansylead-types/src/error.rs
+++ b/crates/tansylead-types/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors carry the step and the peer at which they arose.
+//! Errors that carry the failed step and the peer.
 
 use std::fmt;
 
-/// The other side of a failed step, as an operator would look it up: an address or a file.
+/// The other side of a failed step, in a form that operators can look up: an address or a file.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PeerAddress(pub String);
 
@@ -12,20 +12,20 @@
     }
 }
 
-/// A failure of one step towards one peer. Wraps naturally into `eyre::Report`.
+/// A failure of one step with one peer. Converts into `eyre::Report`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{step} ({peer}): {cause}")]
 pub struct StepError {
     /// What was being done, for example `connect to leaf`.
     pub step: &'static str,
-    /// Towards whom.
+    /// The peer involved.
     pub peer: PeerAddress,
-    /// What went wrong, in the words of the library or the peer.
+    /// The cause, as reported by the library or the peer.
     pub cause: String,
 }
 
 impl StepError {
-    /// Builds the error from anything printable.
+    /// Builds the error from any printable peer and cause.
     pub fn new(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
         Self {
             step,
--- a/crates/tansylead-types/src/leaf.rs
+++ b/crates/tansylead-types/src/leaf.rs
@@ -1,5 +1,5 @@
-//! The leaf protocol: one HTTP POST per attempt, JSON both ways. Only the daemon's leaf adapter
-//! and the lab's stand-in turn these into bytes.
+//! The leaf protocol: one HTTP POST per attempt, with JSON bodies. Only the daemon's leaf adapter
+//! and the lab's fake leaf encode and decode these types.
 
 use crate::{
     AttemptId, IdempotencyKey, QueryId, RequestId, ServiceName, ShardId, SnapshotVersion, WallTime,
@@ -22,45 +22,45 @@
     pub query: QueryId,
     /// Attempt number inside the query.
     pub attempt: AttemptId,
-    /// Service asked.
+    /// Service to query.
     pub service: ServiceName,
-    /// Shard asked.
+    /// Shard to query.
     pub shard: ShardId,
     /// Pinned snapshot.
     pub snapshot: SnapshotVersion,
-    /// Milliseconds left when the request was written; the leaf gives up after that.
+    /// Milliseconds left when the request was written; the leaf aborts after that.
     pub time_left_millis: u64,
     /// Set on non-repeatable requests: the leaf refuses, as not run, once this has passed.
     pub expires: Option<WallTime>,
-    /// Set on non-repeatable requests; lets a leaf's own log be audited.
+    /// Set on non-repeatable requests, so that a leaf's own log can be audited.
     pub idempotency_key: Option<IdempotencyKey>,
     /// Query body: JSON text.
     pub body: String,
 }
 
-/// Load figures a leaf attaches to each answer and to its health report.
+/// Load of a leaf, attached to each answer and to its health report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LeafLoad {
-    /// Requests running.
+    /// Number of requests running.
     pub running: u32,
-    /// Requests waiting for a slot.
+    /// Number of requests waiting for a slot.
     pub queued: u32,
-    /// Slots the leaf has.
+    /// Number of slots.
     pub slots: u32,
-    /// The leaf is about to leave and wants no new work.
+    /// The leaf is about to leave and accepts no new work.
     pub draining: bool,
 }
 
 /// Successful answer (HTTP 200).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafAnswer {
-    /// Echo.
+    /// Echoed from the request.
     pub request: RequestId,
-    /// Echo.
+    /// Echoed from the request.
     pub root: String,
-    /// Echo.
+    /// Echoed from the request.
     pub query: QueryId,
-    /// Echo.
+    /// Echoed from the request.
     pub attempt: AttemptId,
     /// Shard that was searched.
     pub shard: ShardId,
@@ -72,7 +72,7 @@
     pub load: LeafLoad,
 }
 
-/// Why a leaf refused before running anything (HTTP 503 with a [`LeafRefusal`] body).
+/// Why a leaf refused a request before running anything (HTTP 503 with a [`LeafRefusal`] body).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
@@ -88,29 +88,29 @@
     Expired,
 }
 
-/// Refusal before running: the leaf states that nothing was executed.
+/// A refusal before running: the leaf guarantees that nothing was executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafRefusal {
-    /// Echo of the attempt, as in [`LeafAnswer`].
+    /// Echoed from the request, as in [`LeafAnswer`].
     pub root: String,
-    /// Echo.
+    /// Echoed from the request.
     pub query: QueryId,
-    /// Echo.
+    /// Echoed from the request.
     pub attempt: AttemptId,
     /// Why.
     pub reason: RefusalReason,
-    /// Milliseconds after which trying again makes sense.
+    /// Milliseconds after which a retry makes sense.
     pub retry_after_millis: Option<u64>,
     /// Load at the time of refusal.
     pub load: LeafLoad,
 }
 
-/// Health report. It can lag or lie; in-band signs outweigh it.
+/// Health report of a leaf. It can be stale or wrong; in-band signals take precedence.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LeafHealth {
-    /// Whether the leaf believes it can serve.
+    /// Whether the leaf reports that it can serve.
     pub healthy: bool,
-    /// Load figures.
+    /// Load.
     pub load: LeafLoad,
     /// Snapshots the leaf holds.
     pub snapshots: Vec<SnapshotVersion>,
--- a/crates/tansylead-types/src/moment.rs
+++ b/crates/tansylead-types/src/moment.rs
@@ -1,4 +1,4 @@
-//! Time as plain values, so that the daemon, the simulation and the fuzzers drive the same code.
+//! Time as plain values, so that daemon, simulation and fuzzers can run the same code.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
@@ -12,7 +12,7 @@
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// Moment that many milliseconds after the origin.
+    /// The moment `millis` milliseconds after the origin.
     pub fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
--- a/crates/tansylead-types/src/settings.rs
+++ b/crates/tansylead-types/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon: a TOML file plus flags that override it. Unknown keys are refused.
+//! Settings of one daemon: a TOML file plus flags that override it. Unknown keys are rejected.
 //! Loading and flags live in `tansylead-daemon` and `tansylead-cli`; this is the schema.
 
 use crate::{PlaceName, ZoneName};
@@ -18,7 +18,7 @@
     pub zone: ZoneName,
     /// HTTP address for callers, health and metrics.
     pub caller_address: SocketAddr,
-    /// UDP and TCP address for other daemons; must be an address others can reach.
+    /// UDP and TCP address for other daemons; must be reachable from them.
     pub peer_address: SocketAddr,
     /// Peer addresses of some daemons to join through; may be empty if a machine list is set.
     #[serde(default)]
@@ -46,9 +46,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TimingSettings {
-    /// Longest time a planned stop waits for open requests.
+    /// Longest time that a planned stop waits for requests in progress.
     pub drain_limit_millis: u64,
-    /// After a back end is known to be leaving, it gets no new work once this has passed.
+    /// Time after which a leaf that is known to be leaving gets no new work.
     pub leaving_grace_millis: u64,
     /// Period of polling leaf health.
     pub health_period_millis: u64,
@@ -56,7 +56,7 @@
     pub probe_period_millis: u64,
     /// Longest expiry a caller may give a non-repeatable request.
     pub longest_expiry_millis: u64,
-    /// Allowance for differences between wall clocks of daemons and leafs.
+    /// Allowance for differences between the wall clocks of daemons and leafs.
     pub clock_skew_millis: u64,
 }
 
--- a/crates/tansylead-types/src/store.rs
+++ b/crates/tansylead-types/src/store.rs
@@ -1,8 +1,8 @@
-//! Messages of the platform's object API. JSON over HTTP; only the daemon's platform adapter, the
-//! command line's table commands and the lab's stand-in turn these into bytes.
+//! Messages of the platform's object API, JSON over HTTP. Only the daemon's platform adapter, the
+//! command line's table commands and the lab's fake store encode and decode these types.
 //!
 //! - `GET /v1/objects?after=R` answers [`ObjectList`] with all objects whose revision exceeds R.
-//! - `GET /v1/watch?after=R&wait_ms=T` is the same, held until there is something or T passes.
+//! - `GET /v1/watch?after=R&wait_ms=T` is the same as a long poll: it waits for a change, or for T.
 //! - `GET /v1/objects/{key}` answers [`StoredObject`] or 404.
 //! - `PUT /v1/objects/{key}` takes [`WriteRequest`]; answers [`StoredObject`] (200) or
 //!   [`WriteConflict`] (409).
@@ -22,14 +22,14 @@
 pub struct ObjectList {
     /// Highest revision of the store at the time of reading.
     pub revision: u64,
-    /// Changed objects, any order; deleted ones have no contents.
+    /// Changed objects, in any order; deleted ones have no contents.
     pub objects: Vec<StoredObject>,
 }
 
 /// Compare-and-set of one object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WriteRequest {
-    /// Generation the writer believes is current; 0 if the object does not exist.
+    /// Generation that the writer expects to be current; 0 if the object does not exist.
     pub expected_generation: u64,
     /// Identifies this write.
     pub change: ChangeId,
@@ -40,11 +40,11 @@
 /// The write was refused because the object had another generation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WriteConflict {
-    /// What the store holds; none if the object does not exist.
+    /// The object in the store; none if it does not exist.
     pub current: Option<StoredObject>,
 }
 
-/// State of a machine in the platform's (lagging) list.
+/// State of a machine in the platform's list, which may be stale.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
--- a/crates/tansylead-types/src/table.rs
+++ b/crates/tansylead-types/src/table.rs
@@ -1,5 +1,5 @@
-//! The operators' table: for each service, place and hours, how much traffic to take (weight) and
-//! how much to bear (limit).
+//! The operators' table: for each service, place and range of hours, the share of traffic (weight)
+//! and its maximum rate (limit).
 
 use crate::{ChangeId, PlaceName, ServiceName, WallTime};
 use serde::{Deserialize, Serialize};
@@ -75,23 +75,23 @@
 pub struct TableRow {
     /// Service.
     pub service: ServiceName,
-    /// Place that takes the traffic.
+    /// Place that receives the traffic.
     pub place: PlaceName,
     /// Hours of the day, UTC.
     pub hours: HourRange,
     /// Relative share of the service's queries sent to this place; 0 takes none.
     pub weight: u32,
-    /// Most queries per second this place takes for the service.
+    /// Maximum queries per second that this place accepts for the service.
     pub limit: u32,
 }
 
-/// Most entries of [`TrafficTable::recent_changes`].
+/// Maximum length of [`TrafficTable::recent_changes`].
 pub const RECENT_CHANGES: usize = 64;
 
 /// One accepted change of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableChange {
-    /// Generation of the table that the change made.
+    /// Generation of the table that the change created.
     pub generation: u64,
     /// Identifies the change.
     pub change: ChangeId,
@@ -103,13 +103,13 @@
     pub comment: String,
 }
 
-/// The whole table, accepted as one change.
+/// The whole table, always written as one change.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TrafficTable {
     /// Rows; at most one applies to each (service, place, hour).
     pub rows: Vec<TableRow>,
-    /// The last accepted changes, oldest first, at most [`RECENT_CHANGES`]. An author whose answer
-    /// was lost finds its change here even if others have changed the table since.
+    /// The last accepted changes, oldest first, at most [`RECENT_CHANGES`]. An author who lost the
+    /// answer to a write finds the change here even if others have changed the table since.
     #[serde(default)]
     pub recent_changes: Vec<TableChange>,
 }
