--- a/crates/tansylead-cluster/src/claims/lease.rs
+++ b/crates/tansylead-cluster/src/claims/lease.rs
@@ -20,7 +20,8 @@
         *latest = (*latest).max(sent);
     }
 
-    /// Whether a majority, including `own_instance`, acknowledged within the lease time before `now`.
+    /// Whether a majority, including `own_instance`, acknowledged within the lease time before
+    /// `now`.
     pub(super) fn is_valid(
         &self,
         own_instance: InstanceId,
--- a/crates/tansylead-cluster/src/claims/member.rs
+++ b/crates/tansylead-cluster/src/claims/member.rs
@@ -55,9 +55,8 @@
     /// State for reports, metrics and the planner.
     pub fn status(&self) -> ClaimMemberStatus {
         let adopted = self.adopted.as_ref();
-        let is_complete = |adopted: &AdoptedView| {
-            adopted.transfer.is_complete() && adopted.has_member(self.own_instance)
-        };
+        let is_complete =
+            |view: &AdoptedView| view.transfer.is_complete() && view.has_member(self.own_instance);
         ClaimMemberStatus {
             epoch: adopted.map_or(0, |adopted| adopted.view.epoch),
             complete: adopted.is_some_and(is_complete),
--- a/crates/tansylead-cluster/src/claims/message.rs
+++ b/crates/tansylead-cluster/src/claims/message.rs
@@ -1,5 +1,5 @@
-//! Messages of the claim state machines: one request and one response type, sent as postcard over the
-//! daemons' peer connections. Every message carries an epoch and the instance it comes from.
+//! Messages of the claim state machines: one request and one response type, sent as postcard over
+//! the daemons' peer connections. Every message carries an epoch and the instance it comes from.
 
 use serde::{Deserialize, Serialize};
 use tansylead_types::{ClaimView, IdempotencyKey, InstanceId, Moment, ServiceName, WallTime};
--- a/crates/tansylead-cluster/src/claims/mod.rs
+++ b/crates/tansylead-cluster/src/claims/mod.rs
@@ -8,9 +8,9 @@
 //! - [`ClaimViewRepair`] rewrites the view after the store was restored to an older state.
 //!
 //! Invariants: a root dispatches only on its own decision `Granted` and only while
-//! [`check_before_dispatch`] passes; a member grants only in the highest epoch it has seen, only
-//! as the exact instance named in that epoch's view, only with a quorum lease, and only for keys
-//! whose earlier claims it has copied or has waited to expire. The reasoning and the clock assumptions
+//! [`check_before_dispatch`] passes; a member grants only in the highest epoch it has seen, only as
+//! the exact instance named in that epoch's view, only with a quorum lease, and only for keys whose
+//! earlier claims it has copied or has waited to expire. The reasoning and the clock assumptions
 //! are in `docs/design/0005-non-repeatable-requests.md`.
 //!
 //! How a root processes one non-repeatable request:
--- a/crates/tansylead-cluster/src/claims/planner.rs
+++ b/crates/tansylead-cluster/src/claims/planner.rs
@@ -86,11 +86,9 @@
         live: &[LiveDaemon],
     ) -> bool {
         let members = current.map_or(&[][..], |view| &view.members);
-        let all_members = members.iter().map(|member| member.instance).collect();
+        let all = members.iter().map(|member| member.instance).collect();
         let departed = self.observe(now, current, live);
-        departed.is_some_and(|departed| {
-            next_claim_view(current, live, &departed, &all_members).is_some()
-        })
+        departed.is_some_and(|departed| next_claim_view(current, live, &departed, &all).is_some())
     }
 
     /// Records which members are present. Returns the departed ones, or none if it is too early for
@@ -125,11 +123,8 @@
         live: &[LiveDaemon],
     ) -> BTreeSet<InstanceId> {
         let members = current.map_or(&[][..], |view| &view.members);
-        let find_daemon = |instance: InstanceId| {
-            live.iter()
-                .find(|daemon| daemon.member.instance == instance)
-        };
-        let is_absent = |instance: &InstanceId| find_daemon(*instance).is_none();
+        let find = |instance: InstanceId| live.iter().find(|d| d.member.instance == instance);
+        let is_absent = |instance: &InstanceId| find(*instance).is_none();
         let absent: BTreeSet<InstanceId> = members
             .iter()
             .map(|member| member.instance)
@@ -141,7 +136,7 @@
             self.absent_since.entry(*instance).or_insert(now);
         }
         let is_leaving =
-            |instance: InstanceId| find_daemon(instance).is_some_and(|daemon| daemon.is_leaving);
+            |instance: InstanceId| find(instance).is_some_and(|daemon| daemon.is_leaving);
         let leaving = members
             .iter()
             .map(|m| m.instance)
@@ -156,8 +151,8 @@
 }
 
 /// The view that should follow, or none if nothing should change: departed members are replaced,
-/// and a view below the maximum size grows; all other members stay. `complete` lists the members of the current
-/// view that have reported that they hold all earlier claims.
+/// and a view below the maximum size grows; all other members stay. `complete` lists the members of
+/// the current view that have reported that they hold all earlier claims.
 pub fn next_claim_view(
     current: Option<&ClaimView>,
     live: &[LiveDaemon],
--- a/crates/tansylead-cluster/src/claims/settings.rs
+++ b/crates/tansylead-cluster/src/claims/settings.rs
@@ -7,7 +7,8 @@
 /// Largest rate error of a monotonic clock that is tolerated, in parts per thousand.
 const MAXIMUM_CLOCK_DRIFT_PER_MILLE: u32 = 2;
 
-/// Time limits and sizes of the claim state machines. All daemons of a cluster must use the same values.
+/// Time limits and sizes of the claim state machines. All daemons of a cluster must use the same
+/// values.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClaimSettings {
     /// Longest time from a claim to its expiry.
--- a/crates/tansylead-cluster/src/routing/rate_shares.rs
+++ b/crates/tansylead-cluster/src/routing/rate_shares.rs
@@ -9,8 +9,9 @@
 //! (a) no two running roots have different views of the owners or the number of slots for longer
 //! than [`ShareTiming::longest_view_lag`] in a row, including pauses of at most `longest_pause`;
 //! (b) clocks, which must count suspended time, differ in rate by less than `margin / lease`;
-//! (c) [`RateShares::usable`] is called right before each admission, or its result is not used after
-//! [`RateShares::valid_until`].
+//! (c) [`RateShares::usable`] is called right before each admission, or its result is not used
+//! after [`RateShares::valid_until`].
+//!
 //! Nothing is assumed about messages: without any, loans expire and every root has its base share.
 //! Roots that apply a changed limit or hour at different times admit at most the larger limit.
 //!
@@ -136,10 +137,10 @@
         }
     }
 
-    /// Sets the owners of the slots ([`super::ServingSet::roots`]). Losing a slot, or a smaller part
-    /// of the limit for it, takes effect at once; a new slot, or a larger part, takes effect after
-    /// the takeover time. An allocation moves with its owner from slot to slot: at any time each
-    /// allocation in use belongs to a different slot, so their sum stays within the limit.
+    /// Sets the owners of the slots ([`super::ServingSet::roots`]). Losing a slot, or a smaller
+    /// part of the limit for it, takes effect at once; a new slot, or a larger part, takes effect
+    /// after the takeover time. An allocation moves with its owner from slot to slot: at any time
+    /// each allocation in use belongs to a different slot, so their sum stays within the limit.
     pub fn set_roots(&mut self, now: Moment, roots: &[NodeId]) {
         self.handle_pause(now);
         let target = ShareParts(ShareParts::WHOLE.0 / (roots.len().max(1) as u32));
@@ -190,11 +191,9 @@
                 self.peer_spare.insert(from, spare);
                 Vec::new()
             }
-            ShareMessage::Request { request_id, wanted } => {
-                self.on_request(now, from, request_id, wanted)
-            }
-            ShareMessage::Grant { request_id, lent } => {
-                self.borrowed.on_grant(now, from, request_id, lent);
+            ShareMessage::Request { id, wanted } => self.lend(now, from, id, wanted),
+            ShareMessage::Grant { id, lent } => {
+                self.borrowed.on_grant(now, from, id, lent);
                 Vec::new()
             }
         }
@@ -234,8 +233,8 @@
         self.usable(now).rate(self.limit)
     }
 
-    /// Until when the result of [`RateShares::usable`] at `now` is valid if no event is handled: the
-    /// next change of a base share, expiry of a loan, or the longest pause.
+    /// Until when the result of [`RateShares::usable`] at `now` is valid if no event is handled:
+    /// the next change of a base share, expiry of a loan, or the longest pause.
     pub fn valid_until(&self, now: Moment) -> Moment {
         let pause = self.last_event_at + self.timing.longest_pause;
         let target_times = self.slots.values().map(|slot| slot.target_at);
@@ -305,11 +304,11 @@
         own.minus(self.needed())
     }
 
-    fn on_request(
+    fn lend(
         &mut self,
         now: Moment,
         borrower: NodeId,
-        request_id: u64,
+        id: u64,
         wanted: ShareParts,
     ) -> Vec<ShareAction> {
         // A renewal replaces the borrower's earlier loan, so only loans to others reduce what is
@@ -326,7 +325,7 @@
         }
         let until = now + self.timing.lease + self.timing.margin;
         self.lent.lend(borrower, lent, until);
-        let message = ShareMessage::Grant { request_id, lent };
+        let message = ShareMessage::Grant { id, lent };
         vec![ShareAction::Send {
             to: borrower,
             message,
@@ -356,8 +355,8 @@
             if wanted < MINIMUM_LOAN {
                 continue;
             }
-            let request_id = self.borrowed.open_request(now, to, self.timing.lease);
-            let message = ShareMessage::Request { request_id, wanted };
+            let id = self.borrowed.open_request(now, to, self.timing.lease);
+            let message = ShareMessage::Request { id, wanted };
             actions.push(ShareAction::Send { to, message });
             shortfall = shortfall.minus(wanted);
         }
--- a/crates/tansylead-cluster/src/routing/share_lease.rs
+++ b/crates/tansylead-cluster/src/routing/share_lease.rs
@@ -1,7 +1,7 @@
 //! Loans of parts of a limit between roots.
 //!
-//! Owns [`LentParts`] (what this root must not use) and [`BorrowedParts`] (what it may use until the
-//! lease expires). Safety rests on two rules that need no common clock:
+//! Owns [`LentParts`] (what this root must not use) and [`BorrowedParts`] (what it may use until
+//! the lease expires). Safety rests on two rules that need no common clock:
 //! - the lender's reservation starts when it *receives* the request and lasts the lease plus a
 //!   margin, the borrower's lease starts when it *sent* the request, and so always ends first;
 //! - a borrower holds one loan from each lender at a time: a new one replaces the old one, so the
@@ -103,31 +103,25 @@
 
     /// Registers a new request; the lease of its loan starts now.
     pub fn open_request(&mut self, now: Moment, lender: NodeId, lease: Duration) -> u64 {
-        let request_id = self.next_request_id;
+        let id = self.next_request_id;
         self.next_request_id += 1;
         let lease_until = now + lease;
         self.pending.insert(
-            request_id,
+            id,
             PendingRequest {
                 lender,
                 lease_until,
             },
         );
-        request_id
+        id
     }
 
     /// Applies a grant; false if it answers no pending request to this lender or came too late.
-    pub fn on_grant(
-        &mut self,
-        now: Moment,
-        lender: NodeId,
-        request_id: u64,
-        parts: ShareParts,
-    ) -> bool {
-        if self.pending.get(&request_id).map(|request| request.lender) != Some(lender) {
+    pub fn on_grant(&mut self, now: Moment, lender: NodeId, id: u64, parts: ShareParts) -> bool {
+        if self.pending.get(&id).map(|request| request.lender) != Some(lender) {
             return false;
         }
-        let Some(pending) = self.pending.remove(&request_id) else {
+        let Some(pending) = self.pending.remove(&id) else {
             return false;
         };
         let is_in_time = now < pending.lease_until;
--- a/crates/tansylead-cluster/src/routing/share_message.rs
+++ b/crates/tansylead-cluster/src/routing/share_message.rs
@@ -51,14 +51,14 @@
     /// The sender asks for a loan.
     Request {
         /// Chosen by the borrower, never reused by that process.
-        request_id: u64,
+        id: u64,
         /// Parts requested.
         wanted: ShareParts,
     },
     /// The sender grants a loan. It stops using these parts before it sends this.
     Grant {
         /// Echoed from the request.
-        request_id: u64,
+        id: u64,
         /// Parts lent; replaces what the borrower still holds from the same lender.
         lent: ShareParts,
     },
--- a/crates/tansylead-cluster/tests/rate_shares/main.rs
+++ b/crates/tansylead-cluster/tests/rate_shares/main.rs
@@ -190,11 +190,11 @@
     let spare = ShareParts(500_000);
     shares.on_message(Moment(0), lender, ShareMessage::Report { spare });
     let mut requests = shares.on_wakeup(Moment(0)).into_iter();
-    let request_id = requests.find_map(|ShareAction::Send { message, .. }| match message {
-        ShareMessage::Request { request_id, .. } => Some(request_id),
+    let id = requests.find_map(|ShareAction::Send { message, .. }| match message {
+        ShareMessage::Request { id, .. } => Some(id),
         _ => None,
     });
-    (shares, request_id.expect("asks the lender"))
+    (shares, id.expect("asks the lender"))
 }
 
 #[test]
@@ -202,7 +202,7 @@
     let lender = NodeId(([127, 0, 0, 1], 2).into());
     let (_, earlier_request_id) = borrower_with_request(1_000_000);
     let late = ShareMessage::Grant {
-        request_id: earlier_request_id,
+        id: earlier_request_id,
         lent: ShareParts(400_000),
     };
     let (mut restarted, _) = borrower_with_request(2_000_000);
@@ -217,7 +217,7 @@
 #[test]
 fn messages_survive_the_codec_and_stay_small() {
     let message = ShareMessage::Grant {
-        request_id: u64::MAX,
+        id: u64::MAX,
         lent: ShareParts::WHOLE,
     };
     let bytes = postcard::to_stdvec(&message).expect("encodes");
