--- a/crates/tansylead-cli/src/table_commands/accept.rs
+++ b/crates/tansylead-cli/src/table_commands/accept.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tansylead_daemon::platform::{StoreClient, WriteError, WriteOutcome};
 use tansylead_table::{
-    Accept, AcceptAction, AcceptEvent, AcceptOutcome, AcceptSettings, Proposal, check_table,
+    AcceptAction, AcceptEvent, AcceptOutcome, AcceptSettings, Acceptance, Proposal, check_table,
     has_errors, write_rows,
 };
 use tansylead_types::{Moment, ObjectKey};
@@ -112,7 +112,7 @@
 ) -> AcceptOutcome {
     let started = Instant::now();
     let now = || Moment(started.elapsed().as_micros() as u64);
-    let (mut accept, mut actions) = Accept::start(now(), proposal, known_generation, settings);
+    let (mut accept, mut actions) = Acceptance::start(now(), proposal, known_generation, settings);
     loop {
         let action = actions.pop();
         if let Some(AcceptAction::Finish(outcome)) = action {
--- a/crates/tansylead-lab/src/simulation/operator.rs
+++ b/crates/tansylead-lab/src/simulation/operator.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tansylead_table::{
-    Accept, AcceptAction, AcceptEvent, AcceptOutcome, AcceptSettings, Base, Draft, Proposal,
+    AcceptAction, AcceptEvent, AcceptOutcome, AcceptSettings, Acceptance, Base, Draft, Proposal,
 };
 use tansylead_types::{ChangeId, ConfigObject, Moment, ObjectKey, StoredObject};
 
@@ -50,7 +50,7 @@
     },
     Accepting {
         change: ChangeId,
-        accept: Box<Accept>,
+        accept: Box<Acceptance>,
     },
 }
 
@@ -182,7 +182,7 @@
         self.next_edit += 1;
         let proposal = Proposal::new(self.next_edit, draft).expect("generated names are valid");
         let change = proposal.change.clone();
-        let (accept, actions) = Accept::start(
+        let (accept, actions) = Acceptance::start(
             view.clocks.now,
             proposal,
             view.known_generation,
--- a/crates/tansylead-table/src/accept/mod.rs
+++ b/crates/tansylead-table/src/accept/mod.rs
@@ -1,22 +1,22 @@
-//! Acceptance of a proposal: compare-and-set against the store, with answers that may be lost.
+//! Acceptance of a proposal: compare-and-set against the store, whose answers may be lost.
 //!
-//! Owns the decision what happened to one change. Invariants:
+//! Decides what happened to one change. Invariants:
 //! - the change can take effect only as the generation right after its base, because every copy of
 //!   the write expects the base generation; so it is applied at most once, however often it is sent;
-//! - an outcome is definite only if the store's own record proves it: the change id of the
-//!   generation after the base, from the object or from the table's recorded changes;
+//! - an outcome is definite only if the store's record proves it: the change id of the generation
+//!   after the base, from the object or from the table's recorded changes;
 //! - a write whose answer is missing is never reported as not written.
 //!
-//! The driver performs each action and reports what came of it; one request is open at a time.
+//! The driver performs each action and reports its result; one request is in flight at a time.
 
-mod judgement;
 mod outcome;
+mod proposal_state;
 
 pub use outcome::AcceptOutcome;
 
 use crate::proposal::Proposal;
-use judgement::{Judgement, judge};
 use outcome::conflict;
+use proposal_state::{ProposalState, determine_state};
 use std::time::Duration;
 use tansylead_types::store::{WriteConflict, WriteRequest};
 use tansylead_types::table::RECENT_CHANGES;
@@ -25,11 +25,11 @@
 /// Time limits of an acceptance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AcceptSettings {
-    /// After this the outcome is reported as far as it is known.
+    /// Time after which the outcome is reported as far as it is known.
     pub time_limit: Duration,
-    /// First pause before the store is asked again; doubles with each further one.
+    /// First backoff before the store is read again; doubles with each further one.
     pub first_backoff: Duration,
-    /// Longest pause.
+    /// Longest backoff.
     pub longest_backoff: Duration,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// What came of an action, or the time.
+/// The result of an action, or a wakeup.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AcceptEvent {
     /// The store answered a read; none if the table was never written.
@@ -52,24 +52,24 @@
     ReadFailed(String),
     /// The store performed the write.
     Written(Box<StoredObject>),
-    /// The store refused the write because of another generation.
+    /// The store refused the write because it holds another generation.
     Conflict(Box<WriteConflict>),
-    /// The store did not perform the write, and this copy of it never will be.
+    /// The store did not perform the write and never will perform this copy of it.
     NotWritten(String),
     /// The answer to the write is missing; the write may still take effect.
     WriteUnknown(String),
-    /// The moment of [`Accept::next_wakeup`] has come.
+    /// The time returned by [`Acceptance::next_wakeup`] has been reached.
     Wakeup,
 }
 
-/// What the driver must do.
+/// Action that the driver must perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AcceptAction {
     /// Read the table from the store.
     Read,
     /// Write the table to the store, once.
     Write(Box<WriteRequest>),
-    /// The end; nothing follows.
+    /// Report the outcome; no action follows.
     Finish(Box<AcceptOutcome>),
 }
 
@@ -78,31 +78,31 @@
     Reading,
     Writing,
     /// Waiting to read again.
-    Pausing(Moment),
+    Waiting(Moment),
     Finished,
 }
 
 /// State machine of one acceptance.
 #[derive(Debug, Clone)]
-pub struct Accept {
+pub struct Acceptance {
     proposal: Proposal,
     known_generation: u64,
     settings: AcceptSettings,
     deadline: Moment,
     backoff: Duration,
     step: Step,
-    /// The write as first built, so that every copy is the same.
+    /// The write, built once so that every copy is the same.
     write: Option<WriteRequest>,
-    /// Whether a copy of the write has no known outcome.
-    write_is_open: bool,
-    /// Why the last step led to no outcome.
-    last_trouble: String,
-    last_judgement: Option<Judgement>,
+    /// Whether the result of some copy of the write is unknown.
+    is_write_unresolved: bool,
+    /// Why the last step did not lead to an outcome.
+    last_cause: String,
+    last_state: Option<ProposalState>,
 }
 
-impl Accept {
+impl Acceptance {
     /// Starts an acceptance. `known_generation` is the highest generation of the table that a
-    /// daemon is known to have in force, 0 if none was asked.
+    /// daemon is known to have in force, 0 if no daemon was asked.
     pub fn start(
         now: Moment,
         proposal: Proposal,
@@ -117,29 +117,29 @@
             backoff: settings.first_backoff,
             step: Step::Reading,
             write: None,
-            write_is_open: false,
-            last_trouble: String::new(),
-            last_judgement: None,
+            is_write_unresolved: false,
+            last_cause: String::new(),
+            last_state: None,
         };
         (accept, vec![AcceptAction::Read])
     }
 
-    /// Advances the machine.
+    /// Handles an event and returns the actions to perform.
     pub fn on_event(&mut self, now: Moment, event: AcceptEvent) -> Vec<AcceptAction> {
         match (self.step, event) {
             (Step::Finished, _) => Vec::new(),
             (Step::Reading, AcceptEvent::Read(current)) => self.on_read(now, current.as_deref()),
-            (Step::Reading, AcceptEvent::ReadFailed(cause)) => self.pause(now, cause),
+            (Step::Reading, AcceptEvent::ReadFailed(cause)) => self.back_off(now, cause),
             (Step::Writing, AcceptEvent::Written(stored)) => self.on_written(now, &stored),
             (Step::Writing, AcceptEvent::Conflict(conflict)) => {
                 self.on_conflict(now, conflict.current.as_ref())
             }
-            (Step::Writing, AcceptEvent::NotWritten(cause)) => self.pause(now, cause),
+            (Step::Writing, AcceptEvent::NotWritten(cause)) => self.back_off(now, cause),
             (Step::Writing, AcceptEvent::WriteUnknown(cause)) => {
-                self.write_is_open = true;
-                self.pause(now, cause)
+                self.is_write_unresolved = true;
+                self.back_off(now, cause)
             }
-            (Step::Pausing(until), AcceptEvent::Wakeup) if until <= now && now < self.deadline => {
+            (Step::Waiting(until), AcceptEvent::Wakeup) if until <= now && now < self.deadline => {
                 self.step = Step::Reading;
                 vec![AcceptAction::Read]
             }
@@ -148,50 +148,50 @@
         }
     }
 
-    /// When [`AcceptEvent::Wakeup`] is wanted at the latest; none after the end.
+    /// When [`AcceptEvent::Wakeup`] is due at the latest; none once finished.
     pub fn next_wakeup(&self) -> Option<Moment> {
         match self.step {
             Step::Finished => None,
-            Step::Pausing(until) => Some(until.min(self.deadline)),
+            Step::Waiting(until) => Some(until.min(self.deadline)),
             Step::Reading | Step::Writing => Some(self.deadline),
         }
     }
 
     fn on_read(&mut self, now: Moment, current: Option<&StoredObject>) -> Vec<AcceptAction> {
-        let judgement = judge(&self.proposal, self.known_generation, current);
-        self.last_judgement = Some(judgement);
-        match judgement {
-            Judgement::AtBase => self.send_write(current),
-            // Reads may be stale. The write itself decides, if it has been built.
-            Judgement::Behind { .. } if self.write.is_some() => self.send_write(current),
-            Judgement::Behind { .. } => {
-                self.pause(now, "the store shows an older table".to_owned())
+        let state = determine_state(&self.proposal, self.known_generation, current);
+        self.last_state = Some(state);
+        match state {
+            ProposalState::AtBase => self.send_write(current),
+            // The read may be stale. If the write has been built, its result decides.
+            ProposalState::StoreBehind { .. } if self.write.is_some() => self.send_write(current),
+            ProposalState::StoreBehind { .. } => {
+                self.back_off(now, "the store shows an older table".to_owned())
             }
-            _ => self.finish_by(judgement, current),
+            _ => self.finish_with(state, current),
         }
     }
 
     fn on_written(&mut self, now: Moment, stored: &StoredObject) -> Vec<AcceptAction> {
-        let judgement = judge(&self.proposal, 0, Some(stored));
-        match judgement {
-            Judgement::Accepted { .. } => self.finish_by(judgement, Some(stored)),
-            // The store contradicts itself: read back.
+        let state = determine_state(&self.proposal, 0, Some(stored));
+        match state {
+            ProposalState::Accepted { .. } => self.finish_with(state, Some(stored)),
+            // The store contradicts itself: read again.
             _ => {
-                self.write_is_open = true;
-                self.pause(now, "the store answered with another change".to_owned())
+                self.is_write_unresolved = true;
+                self.back_off(now, "the store answered with another change".to_owned())
             }
         }
     }
 
-    /// The object in a conflict is what the store compared with, so it is never stale.
+    /// The object in a conflict is the one that the store compared with, so it is never stale.
     fn on_conflict(&mut self, now: Moment, current: Option<&StoredObject>) -> Vec<AcceptAction> {
-        let judgement = judge(&self.proposal, self.known_generation, current);
-        self.last_judgement = Some(judgement);
-        match judgement {
-            Judgement::AtBase => {
-                self.pause(now, "the store refused the current generation".to_owned())
+        let state = determine_state(&self.proposal, self.known_generation, current);
+        self.last_state = Some(state);
+        match state {
+            ProposalState::AtBase => {
+                self.back_off(now, "the store refused the current generation".to_owned())
             }
-            _ => self.finish_by(judgement, current),
+            _ => self.finish_with(state, current),
         }
     }
 
@@ -203,39 +203,39 @@
         vec![AcceptAction::Write(Box::new(write))]
     }
 
-    fn pause(&mut self, now: Moment, trouble: String) -> Vec<AcceptAction> {
-        self.last_trouble = trouble;
-        self.step = Step::Pausing(now + self.backoff);
+    fn back_off(&mut self, now: Moment, cause: String) -> Vec<AcceptAction> {
+        self.last_cause = cause;
+        self.step = Step::Waiting(now + self.backoff);
         self.backoff = (self.backoff * 2).min(self.settings.longest_backoff);
         Vec::new()
     }
 
-    fn finish_by(
+    fn finish_with(
         &mut self,
-        judgement: Judgement,
+        state: ProposalState,
         current: Option<&StoredObject>,
     ) -> Vec<AcceptAction> {
-        let outcome = match judgement {
-            Judgement::Accepted {
+        let outcome = match state {
+            ProposalState::Accepted {
                 generation,
                 revision,
             } => AcceptOutcome::Accepted {
                 generation,
                 revision,
             },
-            Judgement::Overtaken => conflict(&self.proposal, current),
-            Judgement::Behind { store, known } => AcceptOutcome::StoreBehind {
+            ProposalState::Conflict => conflict(&self.proposal, current),
+            ProposalState::StoreBehind { store, known } => AcceptOutcome::StoreBehind {
                 store_generation: store,
                 known_generation: known,
-                may_have_been_written: self.write_is_open,
+                may_have_been_written: self.is_write_unresolved,
             },
-            Judgement::Replaced { generation } => AcceptOutcome::StoreReplaced {
+            ProposalState::StoreReplaced { generation } => AcceptOutcome::StoreReplaced {
                 generation,
-                may_have_been_written: self.write_is_open,
+                may_have_been_written: self.is_write_unresolved,
             },
-            Judgement::Untraceable { generation } => AcceptOutcome::NoLongerRecorded { generation },
-            Judgement::AtBase => AcceptOutcome::NotWritten {
-                cause: self.last_trouble.clone(),
+            ProposalState::Pruned { generation } => AcceptOutcome::NoLongerRecorded { generation },
+            ProposalState::AtBase => AcceptOutcome::NotWritten {
+                cause: self.last_cause.clone(),
             },
         };
         self.finish(outcome)
@@ -244,13 +244,13 @@
     fn give_up(&mut self) -> Vec<AcceptAction> {
         let cause = match self.step {
             Step::Reading | Step::Writing => "no answer from the store".to_owned(),
-            _ => self.last_trouble.clone(),
+            _ => self.last_cause.clone(),
         };
-        if self.write_is_open || self.step == Step::Writing {
+        if self.is_write_unresolved || self.step == Step::Writing {
             return self.finish(AcceptOutcome::StillUnknown { cause });
         }
-        match self.last_judgement {
-            Some(behind @ Judgement::Behind { .. }) => self.finish_by(behind, None),
+        match self.last_state {
+            Some(behind @ ProposalState::StoreBehind { .. }) => self.finish_with(behind, None),
             _ => self.finish(AcceptOutcome::NotWritten { cause }),
         }
     }
@@ -261,9 +261,9 @@
     }
 }
 
-/// The write of a proposal onto its base as the store holds it.
+/// Builds the write of a proposal on top of its base as the store holds it.
 fn write_request(proposal: &Proposal, base: Option<&StoredObject>) -> WriteRequest {
-    let mut recent_changes = judgement::recent_changes(base).to_vec();
+    let mut recent_changes = proposal_state::recent_changes(base).to_vec();
     recent_changes.push(TableChange {
         generation: proposal.base.generation + 1,
         change: proposal.change.clone(),
--- a/crates/tansylead-table/src/accept/outcome.rs
+++ b/crates/tansylead-table/src/accept/outcome.rs
@@ -1,6 +1,6 @@
-//! How an acceptance ends, in words for the operator.
+//! The outcomes of an acceptance and their texts for the operator.
 
-use super::judgement::recent_changes;
+use super::proposal_state::recent_changes;
 use crate::difference::{RowKey, TableDifference};
 use crate::proposal::{Base, Proposal};
 use std::fmt;
@@ -10,15 +10,15 @@
 /// How an acceptance ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AcceptOutcome {
-    /// The store has the change, as this generation.
+    /// The store holds the change.
     Accepted {
-        /// Generation that the change made.
+        /// Generation that the change created.
         generation: u64,
-        /// Store revision at which the change is in the store; daemons that have this revision in
-        /// force have the change in force.
+        /// Store revision that contains the change; daemons that have this revision in force have
+        /// the change in force.
         revision: u64,
     },
-    /// Another change came first. This one is not applied and never will be.
+    /// Another change was written first. This one is not applied and never will be.
     Conflict {
         /// Generation the store holds.
         generation: u64,
@@ -29,35 +29,35 @@
         /// Rows that this proposal changes too.
         overlapping: Vec<RowKey>,
     },
-    /// Nothing was written by this acceptance, and nothing of it is on its way. An earlier one of
+    /// This acceptance has written nothing, and none of its writes is in flight. An earlier one of
     /// the same proposal may have written.
     NotWritten {
         /// Why.
         cause: String,
     },
-    /// The change may have been applied or may still be. Accepting the same proposal again finds
-    /// out and is safe.
+    /// The change may have been applied or may still be. Accepting the same proposal again resolves
+    /// this and is safe.
     StillUnknown {
-        /// What is missing.
+        /// Why the result is unknown.
         cause: String,
     },
-    /// So many changes have followed the base that the store's record no longer reaches back to
-    /// this one. It is not applied from now on; whether it was cannot be told.
+    /// So many changes have followed the base that the store's record no longer covers this one. It
+    /// will not be applied any more; whether it was applied is unknown.
     NoLongerRecorded {
         /// Generation the store holds.
         generation: u64,
     },
-    /// The store holds an older generation than is known to exist, so it was put back. Daemons
-    /// would ignore what is written now; nothing was written on top of it.
+    /// The store holds an older generation than is known to exist, so it was restored to an older
+    /// state. Daemons would ignore new writes; nothing was written on top of it.
     StoreBehind {
         /// Generation the store holds.
         store_generation: u64,
-        /// Highest generation known.
+        /// Highest known generation.
         known_generation: u64,
         /// Whether a write was sent whose answer is missing.
         may_have_been_written: bool,
     },
-    /// The store was put back and holds another change at the base's generation.
+    /// The store was restored to an older state and holds another change at the base's generation.
     StoreReplaced {
         /// Generation the store holds.
         generation: u64,
@@ -66,16 +66,16 @@
     },
 }
 
-/// The conflict with what the store holds.
+/// Builds the conflict outcome from the object that the store holds.
 pub(super) fn conflict(proposal: &Proposal, current: Option<&StoredObject>) -> AcceptOutcome {
-    let now_held = Base::of(current);
+    let stored = Base::of(current);
     let base = &proposal.base;
-    let difference = TableDifference::between(&base.rows, &now_held.rows);
+    let difference = TableDifference::between(&base.rows, &stored.rows);
     let proposed = TableDifference::between(&base.rows, &proposal.rows);
     let recorded = recent_changes(current).iter();
     let since_base = recorded.filter(|change| change.generation > base.generation);
     AcceptOutcome::Conflict {
-        generation: now_held.generation,
+        generation: stored.generation,
         changes: since_base.cloned().collect(),
         overlapping: proposed.rows_changed_by_both(&difference),
         difference,
@@ -140,7 +140,7 @@
                      {known_generation} is known; the store was put back to an older state, and \
                      daemons ignore older generations"
                 )?;
-                write_open_write(formatter, *may_have_been_written)
+                write_unresolved_write(formatter, *may_have_been_written)
             }
             AcceptOutcome::StoreReplaced {
                 generation,
@@ -151,7 +151,7 @@
                     "refused: the store, at generation {generation}, does not hold the change that \
                      this proposal is based on; it was put back to an older state and written anew"
                 )?;
-                write_open_write(formatter, *may_have_been_written)
+                write_unresolved_write(formatter, *may_have_been_written)
             }
         }
     }
@@ -168,8 +168,8 @@
     Ok(())
 }
 
-fn write_open_write(formatter: &mut fmt::Formatter<'_>, is_open: bool) -> fmt::Result {
-    if is_open {
+fn write_unresolved_write(formatter: &mut fmt::Formatter<'_>, is_unresolved: bool) -> fmt::Result {
+    if is_unresolved {
         writeln!(
             formatter,
             "a write was sent before that and its answer is missing"
--- a/crates/tansylead-table/src/accept/proposal_state.rs
+++ b/crates/tansylead-table/src/accept/proposal_state.rs
@@ -1,59 +1,60 @@
-//! What the store's table says about one proposal.
+//! The state of a proposal according to the table in the store.
 
 use crate::proposal::{Proposal, STARTING_GENERATION};
 use tansylead_types::{ChangeId, ConfigObject, StoredObject, TableChange};
 
-/// What one look at the store proves.
+/// State of a proposal, as proven by one version of the stored table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Judgement {
-    /// The store holds the base: the change has not taken effect so far.
+pub(super) enum ProposalState {
+    /// The store holds the base: the change has not taken effect yet.
     AtBase,
-    /// The change made the generation after the base.
+    /// The change created the generation after the base.
     Accepted { generation: u64, revision: u64 },
-    /// Another change made the generation after the base, so this one never will.
-    Overtaken,
+    /// Another change created the generation after the base, so this one can never take effect.
+    Conflict,
     /// The store holds an older generation than the base or than daemons have in force.
-    Behind { store: u64, known: u64 },
-    /// The store holds another change at the base's generation: it was put back and written anew.
-    Replaced { generation: u64 },
+    StoreBehind { store: u64, known: u64 },
+    /// The store holds another change at the base's generation: it was restored to an older state
+    /// and written again.
+    StoreReplaced { generation: u64 },
     /// The generation after the base is no longer recorded.
-    Untraceable { generation: u64 },
+    Pruned { generation: u64 },
 }
 
-/// Judges what the store holds.
-pub(super) fn judge(
+/// Determines the state from the object that the store holds.
+pub(super) fn determine_state(
     proposal: &Proposal,
     known_generation: u64,
     current: Option<&StoredObject>,
-) -> Judgement {
+) -> ProposalState {
     let base = &proposal.base;
     let generation = current.map_or(STARTING_GENERATION, |stored| stored.generation);
     let known = known_generation.max(base.generation);
     if generation < known {
-        return Judgement::Behind {
+        return ProposalState::StoreBehind {
             store: generation,
             known,
         };
     }
-    let base_is_there = change_at(current, base.generation)
+    let holds_base = change_at(current, base.generation)
         .is_none_or(|change| Some(change) == base.change.as_ref());
-    if !base_is_there {
-        return Judgement::Replaced { generation };
+    if !holds_base {
+        return ProposalState::StoreReplaced { generation };
     }
     if generation == base.generation {
-        return Judgement::AtBase;
+        return ProposalState::AtBase;
     }
     match change_at(current, base.generation + 1) {
-        Some(change) if *change == proposal.change => Judgement::Accepted {
+        Some(change) if *change == proposal.change => ProposalState::Accepted {
             generation: base.generation + 1,
             revision: current.map_or(0, |stored| stored.revision),
         },
-        Some(_) => Judgement::Overtaken,
-        None => Judgement::Untraceable { generation },
+        Some(_) => ProposalState::Conflict,
+        None => ProposalState::Pruned { generation },
     }
 }
 
-/// The change that made a generation, as far as the store's table records it.
+/// The change that created a generation, if the store's table records it.
 fn change_at(current: Option<&StoredObject>, generation: u64) -> Option<&ChangeId> {
     let stored = current?;
     if stored.generation == generation {
--- a/crates/tansylead-table/src/check.rs
+++ b/crates/tansylead-table/src/check.rs
@@ -1,17 +1,17 @@
-//! Checks of a table as a whole: rows against each other and against the configuration.
+//! Checks of a whole table: rows against each other and against the configuration.
 //!
 //! Errors: two rows for the same service, place and hour; all weights of a service zero at an hour;
-//! a service or placement that the configuration does not know. Warnings: hours of a service that
-//! no row covers, a service without rows, and limits that will refuse what the weight invites.
+//! a service or placement that is missing in the configuration. Warnings: hours of a service that
+//! no row covers, a service without rows, and limits too low for rows with a weight.
 
 use crate::csv_form::{NumberedRow, ParsedRows, parse_rows};
 use crate::finding::{Column, Finding, Severity};
-use crate::hours::ranges_text;
+use crate::hours::format_ranges;
 use std::collections::{BTreeMap, BTreeSet};
 use tansylead_types::table::HOURS_PER_DAY;
 use tansylead_types::{PlaceName, ServiceName};
 
-/// A limit is shared by at least two roots; below this one of them gets less than a query a
+/// At least two roots share a limit; below this value one of them gets less than one query per
 /// second.
 pub const LOWEST_USEFUL_LIMIT: u32 = 2;
 
@@ -24,7 +24,7 @@
     pub place: PlaceName,
 }
 
-/// What the configuration knows.
+/// Services and placements in the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct KnownServices {
     /// Defined services.
@@ -33,7 +33,7 @@
     pub placements: BTreeSet<KnownPlacement>,
 }
 
-/// A table as far as it can be read, with everything that is wrong with it.
+/// The readable rows of a table, and all findings about it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CheckedTable {
     /// Rows that can be read.
@@ -42,37 +42,37 @@
     pub findings: Vec<Finding>,
 }
 
-/// Reads and checks a CSV text. If some rows cannot be read, warnings are left out: they might
-/// concern just those.
+/// Reads and checks a CSV text. If some rows cannot be read, warnings are omitted: those rows might
+/// be their cause.
 pub fn check_table(text: &str, known: Option<&KnownServices>) -> CheckedTable {
     let ParsedRows { rows, mut findings } = parse_rows(text);
-    let mut about_rows = check_rows(&rows, known);
+    let mut row_findings = check_rows(&rows, known);
     if !findings.is_empty() {
-        about_rows.retain(|finding| finding.severity == Severity::Error);
+        row_findings.retain(|finding| finding.severity == Severity::Error);
     }
-    findings.extend(about_rows);
+    findings.extend(row_findings);
     findings.sort();
     CheckedTable { rows, findings }
 }
 
-/// Checks rows; against the configuration too if it is given. Findings are ordered by line.
+/// Checks rows, also against the configuration if it is given. Findings are ordered by line.
 pub fn check_rows(rows: &[NumberedRow], known: Option<&KnownServices>) -> Vec<Finding> {
-    let mut findings = overlaps(rows);
-    findings.extend(limits(rows));
+    let mut findings = check_overlaps(rows);
+    findings.extend(check_limits(rows));
     let mut services: BTreeSet<&ServiceName> = rows.iter().map(|row| &row.row.service).collect();
     if let Some(known) = known {
-        findings.extend(unknown_names(rows, known));
+        findings.extend(check_names(rows, known));
         services.extend(&known.services);
     }
     for service in services {
-        findings.extend(hours_of_service(service, rows));
+        findings.extend(check_hours(service, rows));
     }
     findings.sort();
     findings
 }
 
-/// One error for each row that shares an hour with an earlier one.
-fn overlaps(rows: &[NumberedRow]) -> Vec<Finding> {
+/// Returns an error for each row that shares an hour with an earlier one.
+fn check_overlaps(rows: &[NumberedRow]) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (index, later) in rows.iter().enumerate() {
         let same_target = |earlier: &&NumberedRow| {
@@ -87,7 +87,7 @@
                     "{} in {} has hours {} on line {} already",
                     later.row.service,
                     later.row.place,
-                    ranges_text(&shared),
+                    format_ranges(&shared),
                     earlier.line
                 );
                 findings.push(Finding::cell(later.line, Column::Hours, message));
@@ -97,10 +97,10 @@
     findings
 }
 
-fn limits(rows: &[NumberedRow]) -> Vec<Finding> {
+fn check_limits(rows: &[NumberedRow]) -> Vec<Finding> {
     let mut findings = Vec::new();
-    let taking = rows.iter().filter(|numbered| numbered.row.weight > 0);
-    for NumberedRow { line, row } in taking {
+    let with_weight = rows.iter().filter(|numbered| numbered.row.weight > 0);
+    for NumberedRow { line, row } in with_weight {
         let message = match row.limit {
             0 => "the limit is 0, so the place takes nothing whatever its weight".to_owned(),
             limit if limit < LOWEST_USEFUL_LIMIT => format!(
@@ -114,7 +114,7 @@
     findings
 }
 
-fn unknown_names(rows: &[NumberedRow], known: &KnownServices) -> Vec<Finding> {
+fn check_names(rows: &[NumberedRow], known: &KnownServices) -> Vec<Finding> {
     let mut findings = Vec::new();
     for NumberedRow { line, row } in rows {
         let placement = KnownPlacement {
@@ -132,10 +132,10 @@
     findings
 }
 
-fn hours_of_service(service: &ServiceName, rows: &[NumberedRow]) -> Vec<Finding> {
+fn check_hours(service: &ServiceName, rows: &[NumberedRow]) -> Vec<Finding> {
     let of_service = || rows.iter().filter(|row| row.row.service == *service);
     let mut uncovered = Vec::new();
-    // Hours without weight, by the line of the last row that covers them.
+    // Hours whose weights are all 0, by the line of the last row that covers them.
     let mut weightless: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
     for hour in 0..HOURS_PER_DAY {
         let covering = || of_service().filter(|row| row.row.hours.contains(hour));
@@ -149,12 +149,12 @@
     }
     let mut findings = Vec::new();
     for (line, hours) in weightless {
-        let hours = ranges_text(&hours);
+        let hours = format_ranges(&hours);
         let message = format!("{service}: all weights are 0 in hours {hours}");
         findings.push(Finding::cell(line, Column::Weight, message));
     }
     if !uncovered.is_empty() {
-        let hours = ranges_text(&uncovered);
+        let hours = format_ranges(&uncovered);
         let message = format!("{service}: no row covers hours {hours}; queries are refused then");
         findings.push(Finding::table(message).as_warning());
     }
--- a/crates/tansylead-table/src/csv_form.rs
+++ b/crates/tansylead-table/src/csv_form.rs
@@ -1,12 +1,12 @@
 //! The CSV form `service,place,hours,weight,limit`.
 //!
-//! Reading reports every error, each with line and column, and forgives what spreadsheets do to a
-//! file: a byte order mark, blank lines, spaces around cells, columns in another order. Writing is
-//! canonical (sorted rows, one spelling of each range of hours), so that reading and writing again
-//! changes nothing and a version control system shows only real changes.
+//! Reading reports every error, each with line and column, and tolerates what spreadsheets change
+//! in a file: a byte order mark, blank lines, spaces around cells, columns in another order.
+//! Writing is canonical (sorted rows, one form of each range of hours), so that reading and writing
+//! again changes nothing and a version control system shows only real changes.
 
 use crate::finding::{Column, Finding};
-use crate::hours::canonical;
+use crate::hours::canonical_range;
 use csv::StringRecord;
 use std::fmt::Display;
 use std::str::FromStr;
@@ -23,19 +23,19 @@
     pub row: TableRow,
 }
 
-/// What a CSV text holds.
+/// Rows and errors of a CSV text.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ParsedRows {
     /// Rows that can be read.
     pub rows: Vec<NumberedRow>,
-    /// Errors of all others.
+    /// Errors in all other rows.
     pub findings: Vec<Finding>,
 }
 
 /// Reads a CSV text.
 pub fn parse_rows(text: &str) -> ParsedRows {
     let text = text.strip_prefix(BYTE_ORDER_MARK).unwrap_or(text);
-    // The reader counts lines wrongly if they end in both characters.
+    // The CSV reader miscounts lines that end in "\r\n".
     let text = text.replace("\r\n", "\n");
     let mut reader = csv::ReaderBuilder::new()
         .trim(csv::Trim::All)
@@ -66,10 +66,10 @@
     parsed
 }
 
-/// Rows sorted and with one spelling of each range of hours.
+/// Sorts the rows and brings each range of hours into canonical form.
 pub(crate) fn canonical_rows(rows: &[TableRow]) -> Vec<TableRow> {
     let canonical_row = |row: &TableRow| TableRow {
-        hours: canonical(row.hours),
+        hours: canonical_range(row.hours),
         ..row.clone()
     };
     let mut rows: Vec<TableRow> = rows.iter().map(canonical_row).collect();
@@ -125,8 +125,8 @@
 ) -> Result<NumberedRow, Vec<Finding>> {
     let line = record.position().map_or(0, csv::Position::line);
     let mut findings = Vec::new();
-    let beyond = record.iter().skip(positions.len());
-    if beyond.filter(|cell| !cell.is_empty()).count() > 0 {
+    let extra_cells = record.iter().skip(positions.len());
+    if extra_cells.filter(|cell| !cell.is_empty()).count() > 0 {
         findings.push(Finding::line(line, "more cells than columns"));
     }
     let mut cells = Cells {
@@ -147,7 +147,7 @@
             let row = TableRow {
                 service,
                 place,
-                hours: canonical(hours),
+                hours: canonical_range(hours),
                 weight,
                 limit,
             };
@@ -157,7 +157,7 @@
     }
 }
 
-/// Cells of one record; collects what is wrong with them.
+/// Parses the cells of one record and collects the errors.
 struct Cells<'a> {
     record: &'a StringRecord,
     positions: &'a [usize; 5],
--- a/crates/tansylead-table/src/difference.rs
+++ b/crates/tansylead-table/src/difference.rs
@@ -1,11 +1,11 @@
-//! Differences between two tables, by row and in their effect by hour, in words and numbers.
+//! Differences between two tables: changed rows, and the resulting totals by hour.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use tansylead_types::table::HOURS_PER_DAY;
 use tansylead_types::{HourRange, PlaceName, ServiceName, TableRow};
 
-/// What identifies a row.
+/// Identifies a row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RowKey {
     /// Service.
@@ -81,16 +81,16 @@
     }
 }
 
-/// What a service takes in one hour: places with weight and limit above 0 only.
+/// Totals of a service in one hour, over the places with weight and limit above 0.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HourTotal {
     /// Sum of limits, queries per second.
     pub limit: u64,
-    /// Share of each place in traffic that no place keeps for itself, in tenths of a per cent.
+    /// Share of each place in the traffic that is distributed by weight, in tenths of a per cent.
     pub shares: BTreeMap<PlaceName, u64>,
 }
 
-/// Consecutive hours of a service whose totals change alike.
+/// Consecutive hours of a service whose totals change in the same way.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TotalChange {
     /// Service.
@@ -122,8 +122,8 @@
             if before != after {
                 parts.push(format!(
                     "share of {place} {} -> {}",
-                    percent(before),
-                    percent(after)
+                    format_percent(before),
+                    format_percent(after)
                 ));
             }
         }
@@ -137,7 +137,7 @@
     }
 }
 
-fn percent(tenths: u64) -> String {
+fn format_percent(tenths: u64) -> String {
     format!("{}.{} %", tenths / 10, tenths % 10)
 }
 
@@ -193,7 +193,7 @@
 }
 
 fn changed_rows(before: &[TableRow], after: &[TableRow]) -> Vec<RowChange> {
-    let (before, after) = (by_key(before), by_key(after));
+    let (before, after) = (values_by_key(before), values_by_key(after));
     let keys: BTreeSet<&RowKey> = before.keys().chain(after.keys()).collect();
     keys.into_iter()
         .filter(|key| before.get(key) != after.get(key))
@@ -205,7 +205,7 @@
         .collect()
 }
 
-fn by_key(rows: &[TableRow]) -> BTreeMap<RowKey, RowValues> {
+fn values_by_key(rows: &[TableRow]) -> BTreeMap<RowKey, RowValues> {
     let entry = |row: &TableRow| {
         let values = RowValues {
             weight: row.weight,
@@ -228,14 +228,14 @@
                     start: hour,
                     end: hour + 1,
                 },
-                before: total(service, hour, before),
-                after: total(service, hour, after),
+                before: hour_total(service, hour, before),
+                after: hour_total(service, hour, after),
             };
             if change.before == change.after {
                 continue;
             }
             match changes.last_mut() {
-                Some(last) if continues(last, &change) => last.hours.end = hour + 1,
+                Some(last) if is_continuation(last, &change) => last.hours.end = hour + 1,
                 _ => changes.push(change),
             }
         }
@@ -243,26 +243,26 @@
     changes
 }
 
-fn continues(last: &TotalChange, next: &TotalChange) -> bool {
+fn is_continuation(last: &TotalChange, next: &TotalChange) -> bool {
     last.service == next.service
         && last.hours.end == next.hours.start
         && last.before == next.before
         && last.after == next.after
 }
 
-fn total(service: &ServiceName, hour: u8, rows: &[TableRow]) -> HourTotal {
-    let taking_part: Vec<&TableRow> = rows
+fn hour_total(service: &ServiceName, hour: u8, rows: &[TableRow]) -> HourTotal {
+    let contributing: Vec<&TableRow> = rows
         .iter()
         .filter(|row| row.service == *service && row.hours.contains(hour))
         .filter(|row| row.weight > 0 && row.limit > 0)
         .collect();
-    let weights: u64 = taking_part.iter().map(|row| u64::from(row.weight)).sum();
+    let weights: u64 = contributing.iter().map(|row| u64::from(row.weight)).sum();
     let share = |row: &&TableRow| {
         let tenths = (u64::from(row.weight) * 1_000 + weights / 2) / weights;
         (row.place.clone(), tenths)
     };
     HourTotal {
-        limit: taking_part.iter().map(|row| u64::from(row.limit)).sum(),
-        shares: taking_part.iter().map(share).collect(),
+        limit: contributing.iter().map(|row| u64::from(row.limit)).sum(),
+        shares: contributing.iter().map(share).collect(),
     }
 }
--- a/crates/tansylead-table/src/finding.rs
+++ b/crates/tansylead-table/src/finding.rs
@@ -1,4 +1,4 @@
-//! Findings about a table: what is wrong, at which row and column.
+//! Findings about a table: what is wrong, and in which row and column.
 
 use std::fmt;
 
@@ -39,12 +39,12 @@
     }
 }
 
-/// How bad a finding is.
+/// Severity of a finding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Severity {
     /// The table cannot be proposed.
     Error,
-    /// The table can be proposed; the operator should look at this.
+    /// The table can be proposed; the operator should review this.
     Warning,
 }
 
@@ -60,11 +60,11 @@
 /// One finding.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// Line of the file, from 1; none if it concerns the table as a whole.
+    /// Line of the file, from 1; none if it concerns the whole table.
     pub line: Option<u64>,
-    /// Column; none if it concerns the row as a whole.
+    /// Column; none if it concerns the whole row.
     pub column: Option<Column>,
-    /// How bad it is.
+    /// Severity.
     pub severity: Severity,
     /// What is wrong.
     pub message: String,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// An error of the table as a whole.
+    /// An error in the whole table.
     pub fn table(message: impl fmt::Display) -> Self {
         Self {
             line: None,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The same as a warning.
+    /// The same finding as a warning.
     pub fn as_warning(self) -> Self {
         Self {
             severity: Severity::Warning,
--- a/crates/tansylead-table/src/hours.rs
+++ b/crates/tansylead-table/src/hours.rs
@@ -1,11 +1,11 @@
-//! Hours of the day as sets, for grouping and for one canonical spelling of each range.
+//! Hours of the day: the canonical form of a range, and grouping of hours into ranges.
 
 use tansylead_types::HourRange;
 use tansylead_types::table::HOURS_PER_DAY;
 
-/// The one spelling of a range that the CSV form uses: the whole day is `0-24`, and a range up to
-/// midnight ends at 24.
-pub(crate) fn canonical(range: HourRange) -> HourRange {
+/// The canonical form of a range, as used in the CSV form: the whole day is `0-24`, and a range up
+/// to midnight ends at 24.
+pub(crate) fn canonical_range(range: HourRange) -> HourRange {
     if range.start == range.end {
         return HourRange {
             start: 0,
@@ -20,8 +20,8 @@
     HourRange { end, ..range }
 }
 
-/// Consecutive hours as ranges: `[0, 1, 2, 7]` is `0-3, 7-8`.
-pub(crate) fn ranges_text(hours: &[u8]) -> String {
+/// Formats consecutive hours as ranges: `[0, 1, 2, 7]` is `0-3, 7-8`.
+pub(crate) fn format_ranges(hours: &[u8]) -> String {
     let mut ranges: Vec<HourRange> = Vec::new();
     for &hour in hours {
         match ranges.last_mut() {
--- a/crates/tansylead-table/src/proposal.rs
+++ b/crates/tansylead-table/src/proposal.rs
@@ -1,10 +1,10 @@
-//! Proposals: a changed table bound to the generation it was made from, as a TOML document that
-//! can lie in version control.
+//! Proposals: a changed table bound to the generation it is based on, as a TOML document that can
+//! be kept in version control.
 //!
-//! The document holds both tables as CSV text, so a review needs nothing else, and the change id,
-//! so accepting the same document again finds out what became of an earlier try and never applies
-//! it twice. The change id ends in a digest of the contents: a document that was edited is
-//! refused, because one change id must never stand for two contents.
+//! The document contains both tables as CSV text, so a review needs nothing else, and the change
+//! id, so accepting the same document again finds the result of an earlier attempt and never
+//! applies it twice. The change id ends in a digest of the contents: an edited document is refused,
+//! because one change id must never identify two different contents.
 
 use crate::csv_form::{ParsedRows, canonical_rows, parse_rows, write_rows};
 use crate::finding::Finding;
@@ -13,15 +13,15 @@
 use tansylead_types::{ChangeId, ConfigObject, StoredObject, TableRow, WallTime};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Generation of a table that was never written.
+/// Generation of a table that has never been written.
 pub const STARTING_GENERATION: u64 = 0;
 
-/// The table that a proposal was made from.
+/// The table that a proposal is based on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Base {
-    /// Its generation; [`STARTING_GENERATION`] if there was none.
+    /// Its generation; [`STARTING_GENERATION`] if there is no table.
     pub generation: u64,
-    /// The change that made it; none if there was none.
+    /// The change that created it; none if there is no table.
     pub change: Option<ChangeId>,
     /// Its rows.
     pub rows: Vec<TableRow>,
@@ -36,15 +36,15 @@
     pub author: String,
     /// Why, in one line.
     pub comment: String,
-    /// When it was made, by the author's clock.
+    /// When it was created, by the author's clock.
     pub proposed_at: WallTime,
-    /// What it was made from.
+    /// The table it is based on.
     pub base: Base,
     /// The proposed rows.
     pub rows: Vec<TableRow>,
 }
 
-/// What a new proposal is made of.
+/// Contents of a new proposal, without its change id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Draft {
     /// Who proposes it.
@@ -53,7 +53,7 @@
     pub comment: String,
     /// When, by the author's clock.
     pub proposed_at: WallTime,
-    /// What it is made from.
+    /// The table it is based on.
     pub base: Base,
     /// The proposed rows.
     pub rows: Vec<TableRow>,
@@ -62,17 +62,17 @@
 /// Why a document cannot be read or written.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
-    /// Not a document of the expected form.
+    /// The document does not have the expected form.
     #[error("{0}")]
     Document(String),
-    /// The contents do not belong to the change id.
+    /// The contents do not match the change id.
     #[error("it was edited after it was made; edit the table and propose again")]
     Edited,
-    /// No change id could be made.
+    /// The change id is not a valid name.
     #[error(transparent)]
     ChangeId(#[from] InvalidName),
-    /// A table inside the document is wrong.
-    #[error("{table}: {}", joined(.findings))]
+    /// A table in the document has errors.
+    #[error("{table}: {}", join_findings(.findings))]
     Table {
         /// Which table.
         table: &'static str,
@@ -81,7 +81,7 @@
     },
 }
 
-fn joined(findings: &[Finding]) -> String {
+fn join_findings(findings: &[Finding]) -> String {
     let texts: Vec<String> = findings.iter().map(Finding::to_string).collect();
     texts.join("; ")
 }
@@ -106,7 +106,7 @@
 }
 
 impl Base {
-    /// The base that the store's answer stands for.
+    /// The base for the stored table; none if the table has never been written.
     pub fn of(stored: Option<&StoredObject>) -> Self {
         let Some(stored) = stored else {
             return Self {
@@ -126,19 +126,19 @@
         }
     }
 
-    /// The document.
+    /// Formats the document.
     pub fn to_document(&self) -> Result<String, ProposalError> {
         serialize(&BaseDocument::of(self))
     }
 
-    /// Reads a document.
+    /// Parses a document.
     pub fn from_document(text: &str) -> Result<Self, ProposalError> {
         deserialize::<BaseDocument>(text)?.read()
     }
 }
 
 impl Proposal {
-    /// Makes a proposal; `random` tells two proposals of the same contents apart.
+    /// Creates a proposal; `random` distinguishes proposals with the same contents.
     pub fn new(random: u64, draft: Draft) -> Result<Self, ProposalError> {
         let change = ChangeId::new(format!("{random:016x}-{:016x}", digest(&draft)))?;
         let Draft {
@@ -158,7 +158,7 @@
         })
     }
 
-    /// The document.
+    /// Formats the document.
     pub fn to_document(&self) -> Result<String, ProposalError> {
         serialize(&ProposalDocument {
             change: self.change.clone(),
@@ -170,7 +170,7 @@
         })
     }
 
-    /// Reads a document.
+    /// Parses a document.
     pub fn from_document(text: &str) -> Result<Self, ProposalError> {
         let document: ProposalDocument = deserialize(text)?;
         let draft = Draft {
@@ -210,7 +210,7 @@
 
 fn digest(draft: &Draft) -> u64 {
     let base_change = draft.base.change.as_ref().map_or("", ChangeId::as_str);
-    // No part holds a zero byte unescaped by the debug form, so the text is unambiguous.
+    // The debug form escapes zero bytes and no other part contains one, so the text is unambiguous.
     let text = format!(
         "{:?}\0{:?}\0{}\0{}\0{base_change}\0{}\0{}",
         draft.author,
--- a/crates/tansylead-table/tests/accept/main.rs
+++ b/crates/tansylead-table/tests/accept/main.rs
@@ -1,4 +1,4 @@
-//! Acceptance: never reported wrongly, never applied twice, whatever answers are lost.
+//! AcceptanceTest: no wrong outcome and no change applied twice, whichever answers are lost.
 
 mod world;
 
@@ -7,7 +7,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use std::time::Duration;
 use tansylead_table::{
-    Accept, AcceptAction, AcceptEvent, AcceptOutcome, AcceptSettings, Base, Proposal,
+    AcceptAction, AcceptEvent, AcceptOutcome, AcceptSettings, Acceptance, Base, Proposal,
 };
 use tansylead_types::{
     ChangeId, ConfigObject, Moment, ObjectKey, StoredObject, TableChange, TableRow, TrafficTable,
@@ -24,7 +24,7 @@
     }
 }
 
-/// The same, or the seed and cases of `FUZZ_SEED` and `FUZZ_CASES`, for longer runs by hand.
+/// [`config`], with seed and cases from `FUZZ_SEED` and `FUZZ_CASES` for longer runs by hand.
 fn fuzz_config(default_cases: u32) -> Config {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     let cases = number("FUZZ_CASES").and_then(|cases| u32::try_from(cases).ok());
@@ -33,7 +33,7 @@
     Config { rng_seed, ..config }
 }
 
-/// The oracle is the store's own log inside the world.
+/// Reference without state: the world checks against the store's log.
 struct AnyOperations;
 
 impl ReferenceStateMachine for AnyOperations {
@@ -51,9 +51,9 @@
     fn apply((): (), _: &Operation) {}
 }
 
-struct Acceptance;
+struct AcceptanceTest;
 
-impl StateMachineTest for Acceptance {
+impl StateMachineTest for AcceptanceTest {
     type SystemUnderTest = World;
     type Reference = AnyOperations;
 
@@ -75,7 +75,7 @@
     #![proptest_config(fuzz_config(400))]
 
     #[test]
-    fn outcomes_agree_with_the_log_of_the_store(sequential 1..120 => Acceptance);
+    fn outcomes_agree_with_the_log_of_the_store(sequential 1..120 => AcceptanceTest);
 }
 
 fn finds_violation(flaw: Flaw) -> bool {
@@ -88,11 +88,11 @@
             .and_then(|()| world.settle());
         outcome.map_err(TestCaseError::fail)
     };
-    let shrink_free = Config {
+    let without_shrinking = Config {
         max_shrink_iters: 0,
         ..config(400)
     };
-    let outcome = TestRunner::new(shrink_free).run(&operations, run);
+    let outcome = TestRunner::new(without_shrinking).run(&operations, run);
     matches!(outcome, Err(TestError::Fail(..)))
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// The table after a number of changes, each named after its generation; all are recorded that fit.
+/// The table after `generation` changes, each named after its generation, the last 64 recorded.
 fn stored(generation: u64, rows: Vec<TableRow>) -> StoredObject {
     let recorded = |generation: u64| TableChange {
         generation,
@@ -153,15 +153,15 @@
     }
 }
 
-fn start(change_id: &str, known_generation: u64) -> Accept {
+fn start(change_id: &str, known_generation: u64) -> Acceptance {
     let settings = AcceptSettings::default();
     let (accept, actions) =
-        Accept::start(Moment(0), proposal(change_id), known_generation, settings);
+        Acceptance::start(Moment(0), proposal(change_id), known_generation, settings);
     assert_eq!(actions, [AcceptAction::Read]);
     accept
 }
 
-fn read(accept: &mut Accept, stored: StoredObject) -> Vec<AcceptAction> {
+fn read(accept: &mut Acceptance, stored: StoredObject) -> Vec<AcceptAction> {
     accept.on_event(Moment(0), AcceptEvent::Read(Some(Box::new(stored))))
 }
 
--- a/crates/tansylead-table/tests/accept/world.rs
+++ b/crates/tansylead-table/tests/accept/world.rs
@@ -1,10 +1,11 @@
-//! Operators who race for the table over a store whose answers are lost, crossed or missing.
+//! Simulates operators who compete to change the table in a store whose answers may be lost, stale
+//! or delayed.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tansylead_table::{
-    Accept, AcceptAction, AcceptEvent, AcceptOutcome, AcceptSettings, Base, Proposal,
+    AcceptAction, AcceptEvent, AcceptOutcome, AcceptSettings, Acceptance, Base, Proposal,
 };
 use tansylead_types::store::{WriteConflict, WriteRequest};
 use tansylead_types::{
@@ -13,7 +14,7 @@
 
 const OPERATORS: usize = 3;
 
-/// A way in which the driver or the store is broken.
+/// A deliberate fault in the driver or the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
     None,
@@ -23,17 +24,17 @@
 
 #[derive(Debug, Clone)]
 pub enum Operation {
-    /// An operator pulls the table and accepts a change of it.
+    /// An operator reads the table and accepts a change of it.
     Propose { operator: usize },
     /// An operator accepts its last proposal again.
     AcceptAgain { operator: usize },
-    /// The store performs a request on its way and answers it.
+    /// The store performs a request in flight and answers it.
     Perform { request: usize },
-    /// The store performs it and the answer is lost.
+    /// The store performs a request and the answer is lost.
     LoseAnswer { request: usize },
-    /// The operator gives up waiting; the request stays on its way.
+    /// The operator stops waiting; a write stays in flight.
     GiveUpWaiting { request: usize },
-    /// The store cannot be reached; the request is gone.
+    /// The store cannot be reached; the request is dropped.
     Refuse { request: usize },
     /// A read is answered with an older state.
     AnswerStale { request: usize, back: usize },
@@ -62,13 +63,13 @@
     /// Run of the operator's acceptance that sent it.
     run: u64,
     /// Whether that run still waits for the answer.
-    awaited: bool,
+    is_awaited: bool,
     write: Option<WriteRequest>,
 }
 
 struct Run {
     number: u64,
-    accept: Accept,
+    accept: Acceptance,
 }
 
 #[derive(Default)]
@@ -80,7 +81,7 @@
 pub struct World {
     flaw: Flaw,
     now: Moment,
-    /// The oracle: everything the store ever applied.
+    /// The store's log, used as the oracle: every object ever written.
     applied: Vec<StoredObject>,
     requests: Vec<Request>,
     operators: Vec<Operator>,
@@ -88,9 +89,9 @@
     /// Runs whose write the store applied, and runs reported to have written nothing.
     runs_applied: BTreeSet<u64>,
     runs_without_write: BTreeSet<u64>,
-    /// Changes reported as accepted with their generation, and as never to be applied.
+    /// Changes reported as accepted, with their generation, and changes reported as in conflict.
     accepted: BTreeMap<ChangeId, u64>,
-    overtaken: BTreeSet<ChangeId>,
+    conflicting: BTreeSet<ChangeId>,
     proposals: u64,
 }
 
@@ -106,7 +107,7 @@
             runs_applied: BTreeSet::new(),
             runs_without_write: BTreeSet::new(),
             accepted: BTreeMap::new(),
-            overtaken: BTreeSet::new(),
+            conflicting: BTreeSet::new(),
             proposals: 0,
         }
     }
@@ -127,7 +128,7 @@
         self.check()
     }
 
-    /// Lets everything on its way arrive, then every operator asks again and gets its answer.
+    /// Performs all requests in flight, then lets every operator accept again and get its answer.
     pub fn settle(&mut self) -> Result<(), String> {
         for _ in 0..20 {
             self.perform_all()?;
@@ -178,7 +179,8 @@
         if self.operators[operator].run.is_none() {
             self.runs += 1;
             let number = self.runs;
-            let (accept, actions) = Accept::start(self.now, proposal, 0, AcceptSettings::default());
+            let (accept, actions) =
+                Acceptance::start(self.now, proposal, 0, AcceptSettings::default());
             self.operators[operator].run = Some(Run { number, accept });
             self.perform_actions(operator, number, actions);
         }
@@ -198,7 +200,7 @@
             self.requests.push(Request {
                 operator,
                 run,
-                awaited: true,
+                is_awaited: true,
                 write,
             });
         }
@@ -212,7 +214,7 @@
                 self.accepted.insert(change, generation);
             }
             AcceptOutcome::Conflict { .. } => {
-                self.overtaken.insert(change);
+                self.conflicting.insert(change);
             }
             AcceptOutcome::NotWritten { .. } => {
                 self.runs_without_write.insert(run);
@@ -240,15 +242,15 @@
     }
 
     fn stop_waiting(&mut self, request: Request) {
-        if !request.awaited {
+        if !request.is_awaited {
             return self.requests.push(request);
         }
         if request.write.is_some() {
-            let on_its_way = Request {
-                awaited: false,
+            let in_flight = Request {
+                is_awaited: false,
                 ..request.clone()
             };
-            self.requests.push(on_its_way);
+            self.requests.push(in_flight);
         }
         let event = self.no_answer(&request);
         self.answer(&request, event);
@@ -288,8 +290,8 @@
             return AcceptEvent::Read(current.map(Box::new));
         };
         let generation = current.as_ref().map_or(0, |stored| stored.generation);
-        let compares = self.flaw != Flaw::StoreWithoutCompareAndSet;
-        if compares && generation != write.expected_generation {
+        let checks_generation = self.flaw != Flaw::StoreWithoutCompareAndSet;
+        if checks_generation && generation != write.expected_generation {
             return AcceptEvent::Conflict(Box::new(WriteConflict { current }));
         }
         let stored = StoredObject {
@@ -307,7 +309,7 @@
     fn answer(&mut self, request: &Request, event: AcceptEvent) {
         let now = self.now;
         let run = self.operators[request.operator].run.as_mut();
-        if let Some(run) = run.filter(|run| request.awaited && run.number == request.run) {
+        if let Some(run) = run.filter(|run| request.is_awaited && run.number == request.run) {
             let actions = run.accept.on_event(now, event);
             self.perform_actions(request.operator, request.run, actions);
         }
@@ -350,9 +352,11 @@
                 return Err(format!("{change} was reported accepted and is not"));
             }
         }
-        for change in &self.overtaken {
+        for change in &self.conflicting {
             if self.applied.iter().any(|stored| stored.change == *change) {
-                return Err(format!("{change} was reported overtaken and is applied"));
+                return Err(format!(
+                    "{change} was reported as a conflict and is applied"
+                ));
             }
         }
         match self
@@ -365,14 +369,15 @@
         }
     }
 
-    /// After faults have stopped every last proposal has a definite answer.
+    /// Checks that the last proposal of every operator has a definite answer.
     fn check_settled(&self) -> Result<(), String> {
         for operator in &self.operators {
             let Some(proposal) = &operator.proposal else {
                 continue;
             };
             let change = &proposal.change;
-            let is_definite = self.accepted.contains_key(change) || self.overtaken.contains(change);
+            let is_definite =
+                self.accepted.contains_key(change) || self.conflicting.contains(change);
             if !is_definite || operator.run.is_some() {
                 return Err(format!("{change} has no answer"));
             }
--- a/crates/tansylead-table/tests/csv_and_checks.rs
+++ b/crates/tansylead-table/tests/csv_and_checks.rs
@@ -1,4 +1,4 @@
-//! The CSV form and the checks: all errors at once, with line and column; a clean round trip.
+//! The CSV form and the checks: all errors at once, with line and column, and a stable round trip.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/tansylead-table/tests/difference_and_proposal.rs
+++ b/crates/tansylead-table/tests/difference_and_proposal.rs
@@ -1,4 +1,4 @@
-//! Differences in words and numbers, and the proposal document.
+//! Texts of differences, and the proposal document.
 
 use tansylead_table::{Base, Draft, Proposal, TableDifference, parse_rows};
 use tansylead_types::{ChangeId, TableRow, WallTime};
