--- a/crates/tansylead-cluster/src/claims/message.rs
+++ b/crates/tansylead-cluster/src/claims/message.rs
@@ -150,7 +150,7 @@
     pub claims: Vec<CopiedClaim>,
     /// Continue after this key; none if this is the last page.
     pub next: Option<ClaimKey>,
-    /// Epochs in which the responder held all earlier claims of its keys.
+    /// Epochs in which the responder held all claims of its keys.
     pub complete_epochs: Vec<u64>,
 }
 
--- a/crates/tansylead-cluster/src/routing/rate_shares.rs
+++ b/crates/tansylead-cluster/src/routing/rate_shares.rs
@@ -65,8 +65,8 @@
     /// time, because a root that missed a change may still move its allocation at the next one.
     pub fn longest_view_lag(&self) -> Duration {
         let held = self.lease + self.margin;
-        let until_lapsed = self.takeover.saturating_sub(held);
-        until_lapsed.min(self.takeover / 2)
+        let until_expired = self.takeover.saturating_sub(held);
+        until_expired.min(self.takeover / 2)
     }
 }
 
--- a/crates/tansylead-cluster/tests/claims_rules.rs
+++ b/crates/tansylead-cluster/tests/claims_rules.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn members_refuse_what_they_cannot_bound() {
+fn members_refuse_claims_outside_their_bounds() {
     let settings = ClaimSettings {
         maximum_claims: 1,
         ..ClaimSettings::default()
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn split_ballots_end_with_one_winner() {
+fn split_votes_end_with_one_winner() {
     let settings = ClaimSettings::default();
     let members: Vec<_> = (0..3).map(|node| member(node, 1, node, node)).collect();
     let view = view_of(members);
--- a/crates/tansylead-cluster/tests/claims_simulation.rs
+++ b/crates/tansylead-cluster/tests/claims_simulation.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_planned_and_single_losses_cost() {
+fn claims_are_refused_for_seconds_only_after_one_loss() {
     let leave = refusals_after(&[(60 * SECONDS, ScriptedFault::Leave(4))]);
     let restart = refusals_after(&[(60 * SECONDS, ScriptedFault::Restart(4))]);
     let two_restarts = refusals_after(&[
--- a/crates/tansylead-table/tests/accept/main.rs
+++ b/crates/tansylead-table/tests/accept/main.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_store_that_was_put_back_is_refused() {
+fn a_store_restored_to_an_older_state_is_refused() {
     let end = Moment(0) + AcceptSettings::default().time_limit;
     let mut behind_base = start("mine", 0);
     assert_eq!(read(&mut behind_base, stored(5, vec![])), []);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_store_that_is_down_leaves_the_truth() {
+fn a_store_that_is_down_gives_a_true_outcome() {
     let end = Moment(0) + AcceptSettings::default().time_limit;
     let mut never_reached = start("mine", 0);
     let down = AcceptEvent::ReadFailed("read store object (10.0.0.1:80): refused".to_owned());
--- a/crates/tansylead-table/tests/csv_and_checks.rs
+++ b/crates/tansylead-table/tests/csv_and_checks.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_header_that_is_not_ours_is_shown() {
+fn an_unexpected_header_is_shown() {
     insta::assert_snapshot!(findings_of(
         "service;place;hours;weight;limit\na;b;0-24;1;1\n",
         None
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_spreadsheets_do_is_forgiven() {
+fn changes_by_spreadsheets_are_tolerated() {
     let text = "\u{feff}Place, service ,Hours,Weight,Limit\r\n\
         bangkok, screening-1 ,18 - 0,10,200\r\n\
         ,,,,\r\n\
