--- a/crates/tansylead-cluster/src/claims/grant.rs
+++ b/crates/tansylead-cluster/src/claims/grant.rs
@@ -55,9 +55,9 @@
     },
 }
 
-/// Requests that release a grant whose request ended as `not_run`. `view` is the newest known
-/// view: claims move to its group when the view changes. Losing these requests is harmless: the
-/// key stays claimed until its expiry.
+/// Requests that release a grant whose request certainly did not run and ended as `not_run`. `view`
+/// is the newest known view: claims move to its group when the view changes. Losing these requests
+/// is harmless: the key stays claimed until its expiry.
 pub fn release_requests(view: &ClaimView, grant: &ClaimGrant) -> Vec<ClaimRequest> {
     let current = claim_group(&view.members, &grant.key);
     let mut members: BTreeSet<InstanceId> = grant.group.iter().copied().collect();
--- a/crates/tansylead-cluster/src/claims/mod.rs
+++ b/crates/tansylead-cluster/src/claims/mod.rs
@@ -5,7 +5,7 @@
 //! - [`ClaimRequester`] collects the grants of a majority of the key's group for one root.
 //! - [`AnswerCache`] keeps, on the root, the status or answer of each key until its expiry.
 //! - [`ClaimViewPlanner`] proposes the next set of members.
-//! - [`ClaimViewRepair`] rewrites the view after the store was restored to an older state.
+//! - [`ClaimViewRepair`] has the view rewritten after the store was restored to an older state.
 //!
 //! Invariants: a root dispatches only on its own decision `Granted` and only while
 //! [`check_before_dispatch`] passes; a member grants only in the highest epoch it has seen, only as
