--- a/crates/tansylead-query/src/admission.rs
+++ b/crates/tansylead-query/src/admission.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Smallest capacity of the bucket in queries; below one token no query could ever start.
+/// Smallest capacity in queries, unless the share is zero; below one no query could ever start.
 const MIN_CAPACITY: f64 = 1.0;
 /// `retry_after` when this root's share is zero.
 const RETRY_AFTER_WITHOUT_SHARE: Duration = Duration::from_secs(1);
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Sets the share. The first share starts with a full bucket; a later one keeps the tokens that
-    /// fit into the new capacity.
+    /// Sets the share. A share that follows no limit starts with a full bucket; any other keeps the
+    /// tokens that fit into the new capacity.
     pub(crate) fn set_share(&mut self, now: Moment, share: RateShare) {
         let was_unlimited = self.is_unlimited();
         self.refill(now);
--- a/crates/tansylead-query/src/attempt_end.rs
+++ b/crates/tansylead-query/src/attempt_end.rs
@@ -80,7 +80,9 @@
         self.shards[attempt.position].running -= 1;
         context.free_slot(attempt.leaf);
         match result {
-            AttemptResult::Answered(answer) if self.matches(context, id, &attempt, &answer) => {
+            AttemptResult::Answered(answer)
+                if self.answer_matches(context, id, &attempt, &answer) =>
+            {
                 self.on_answer(now, context, attempt, answer);
             }
             AttemptResult::Refused(refusal) if self.is_refusal_of(context, id, &refusal) => {
@@ -105,19 +107,19 @@
         }
     }
 
-    fn matches(
+    fn answer_matches(
         &self,
         context: &Context,
         id: AttemptId,
         attempt: &Attempt,
         answer: &LeafAnswer,
     ) -> bool {
-        let entry = self.entry(attempt.position);
+        let pinned = self.pinned_shard(attempt.position);
         answer.request == self.request.request
             && is_own_root(context, &answer.root)
             && answer.query == self.id
             && answer.attempt == id
-            && answer.shard == entry.shard
+            && answer.shard == pinned.shard
             && answer.snapshot == self.snapshot.version
     }
 
@@ -198,6 +200,7 @@
             }
             RefusalReason::Expired => {
                 context.counters.refused_expired += 1;
+                // A repeatable query has no expiry, and by this root's clock it has time left.
                 NoAnswer {
                     may_retry: self.request.is_repeatable(),
                     ..EXPIRED
@@ -238,7 +241,7 @@
         context.counters.refused_not_held += 1;
         let version = self.snapshot.version;
         if reason == RefusalReason::ShardNotHeld {
-            let shard = &self.entry(attempt.position).shard;
+            let shard = &self.pinned_shard(attempt.position).shard;
             context.record_shard_not_held(now, attempt.leaf, version, shard);
         } else {
             context.record_snapshot_not_held(now, attempt.leaf, version);
@@ -247,6 +250,7 @@
     }
 }
 
+/// The leaf cannot serve the shard, but another replica is likely to.
 fn redirect(reason: MissingReason) -> NoAnswer {
     NoAnswer {
         certainly_not_run: true,
--- a/crates/tansylead-query/src/backoff.rs
+++ b/crates/tansylead-query/src/backoff.rs
@@ -1,6 +1,5 @@
 //! Backoff before a shard is sent again to a replica that failed or refused it. The retry budget is
-//! charged before the backoff, so the retry is certain to be sent: no query stays open with nothing
-//! left to do.
+//! charged before the backoff, so that no query stays open for a retry that the budget then denies.
 
 use crate::context::Context;
 use crate::query::Query;
--- a/crates/tansylead-query/src/context.rs
+++ b/crates/tansylead-query/src/context.rs
@@ -1,5 +1,5 @@
-//! State that all queries of one engine share: leafs, timers, retry budget, counters and the actions
-//! being collected. Queries interact only through it.
+//! State that all queries of one engine share: leafs, timers, retry budget, counters and the
+//! actions being collected. Queries interact only through it.
 
 use crate::admission::Admission;
 use crate::counters::EngineCounters;
--- a/crates/tansylead-query/src/counters.rs
+++ b/crates/tansylead-query/src/counters.rs
@@ -23,9 +23,10 @@
     pub attempts_first: u64,
     /// Hedged attempts.
     pub attempts_hedge: u64,
-    /// Attempts after one that may have run or was shed; charged to the retry budget.
+    /// Attempts that follow one without an answer, redirects aside; charged to the retry budget.
     pub attempts_retry: u64,
-    /// Attempts on another replica after one that certainly did not run.
+    /// Attempts on another replica after one that was not sent, or that a leaf refused because it
+    /// is leaving or does not hold the data.
     pub attempts_redirect: u64,
     /// First attempts of a shard after the query restarted on another snapshot.
     pub attempts_restart: u64,
@@ -33,7 +34,7 @@
     pub attempts_cancelled: u64,
     /// Queries that restarted on another snapshot.
     pub restarts: u64,
-    /// Extra attempts not made because the retry budget was empty.
+    /// Times that the retry budget had no token for an extra attempt.
     pub budget_exhausted: u64,
     /// Answers whose echoes did not match the attempt.
     pub answers_mismatched: u64,
@@ -49,7 +50,7 @@
     pub refused_not_held: u64,
     /// Refusals because the deadline or the expiry had passed.
     pub refused_expired: u64,
-    /// Attempts that failed after bytes may have left.
+    /// Attempts that failed after bytes may have been sent.
     pub attempts_failed: u64,
     /// Attempts of which nothing was sent.
     pub attempts_not_sent: u64,
--- a/crates/tansylead-query/src/dispatch.rs
+++ b/crates/tansylead-query/src/dispatch.rs
@@ -17,9 +17,10 @@
     First,
     /// The first for the shard after the query restarted.
     Restart,
-    /// Follows one that certainly did not run, on a replica not tried before.
+    /// Follows one that was not sent, or whose leaf is leaving or does not hold the data, on a
+    /// replica not tried before.
     Redirect,
-    /// Follows one that may have run or was shed.
+    /// Any other attempt that follows one without an answer; charged to the retry budget.
     Retry,
     /// Runs in parallel with a slow one.
     Hedge,
@@ -88,19 +89,19 @@
     /// The best class of replicas that may serve a shard.
     pub(crate) fn candidates(&self, now: Moment, context: &Context, position: usize) -> Candidates {
         let shard = &self.shards[position];
-        let entry = self.entry(position);
+        let pinned = self.pinned_shard(position);
         let version = self.snapshot.version;
         let (mut good, mut last_resort, mut tried_before) = (Vec::new(), Vec::new(), Vec::new());
-        for index in &entry.replicas {
+        for index in &pinned.replicas {
             let Some(leaf) = context.leafs.get(*index) else {
                 continue;
             };
-            if !leaf.may_serve(now, version, &entry.shard) {
+            if !leaf.may_serve(now, version, &pinned.shard) {
                 continue;
             }
             match shard.tried_state(*index) {
                 None if leaf.is_last_resort(now)
-                    || !leaf.likely_holds(now, version, &entry.shard) =>
+                    || !leaf.likely_holds(now, version, &pinned.shard) =>
                 {
                     last_resort.push(*index);
                 }
@@ -155,7 +156,7 @@
             query: self.id,
             attempt,
             leaf: leaf_name,
-            shard: self.entry(position).shard.clone(),
+            shard: self.pinned_shard(position).shard.clone(),
             snapshot: self.snapshot.version,
             deadline: self.deadline,
         }));
--- a/crates/tansylead-query/src/ejection.rs
+++ b/crates/tansylead-query/src/ejection.rs
@@ -1,9 +1,9 @@
 //! Ejection of one leaf: for a limited time it is used only where no other replica is left.
 //!
-//! Stragglers are found by comparison with the other leafs ([`is_straggler`]); the leaf table bounds
-//! the fraction of leafs ejected as stragglers. A leaf with consecutive failures is ejected whatever
-//! that fraction is. When an ejection ends the leaf is probed with slow start; the next ejection lasts
-//! twice as long.
+//! Stragglers are found by comparison with the other leafs ([`is_straggler`]); the leaf table
+//! bounds the fraction of leafs ejected as stragglers. A leaf with consecutive failures is ejected
+//! whatever that fraction is. When an ejection ends the leaf is probed with slow start; the next
+//! ejection lasts twice as long.
 
 use std::time::Duration;
 use tansylead_types::Moment;
@@ -52,7 +52,7 @@
     }
 
     /// Whether the leaf is ejected for failures.
-    pub(crate) fn is_failing(&self, now: Moment) -> bool {
+    pub(crate) fn is_ejected_for_failures(&self, now: Moment) -> bool {
         self.ejected
             .is_some_and(|ejected| ejected.cause == EjectionCause::Failures && now < ejected.until)
     }
@@ -65,7 +65,8 @@
     /// Records a failed attempt. Returns whether the leaf must now be ejected.
     pub(crate) fn on_failure(&mut self, now: Moment) -> bool {
         self.consecutive_failures += 1;
-        self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT && !self.is_failing(now)
+        self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
+            && !self.is_ejected_for_failures(now)
     }
 
     /// Ejects the leaf; returns when the ejection ends.
--- a/crates/tansylead-query/src/engine.rs
+++ b/crates/tansylead-query/src/engine.rs
@@ -1,9 +1,9 @@
 //! The root engine: state of the leafs of one service in one place and of all queries in progress.
 //!
 //! Each event is handled in three steps. Queries whose deadline has passed are ended first, so that
-//! nothing is sent for them however late the event arrives. Then the event itself is handled. Timers
-//! and waiting shards, which may send attempts, come last because they must see what the event says
-//! about leafs.
+//! nothing is sent for them however late the event arrives. Then the event itself is handled.
+//! Timers and waiting shards, which may send attempts, come last because they must see what the
+//! event says about leafs.
 
 use crate::attempt_end::{is_snapshot_refusal, record_late_end};
 use crate::context::Context;
@@ -96,7 +96,7 @@
 
     /// Handles an event and returns the actions to carry out.
     pub fn on_event(&mut self, now: Moment, event: RootEvent) -> Vec<RootAction> {
-        // Before the deadlines: a caller that disconnected gets no answer even if its deadline is due.
+        // Before the deadlines: a disconnected caller gets no answer even if its deadline is due.
         if let RootEvent::CallerGone(query) = event {
             self.on_caller_gone(now, query);
         }
@@ -190,7 +190,8 @@
         Ok(choice)
     }
 
-    /// Refuses a query that would not get its slots before its deadline.
+    /// While shards wait for slots, refuses a query that exceeds the bound on waiting shards or is
+    /// not expected to get its slots before its deadline.
     fn check_capacity(
         &mut self,
         now: Moment,
--- a/crates/tansylead-query/src/event.rs
+++ b/crates/tansylead-query/src/event.rs
@@ -1,4 +1,4 @@
-//! Input and output of the root engine. The daemon, the simulation and the fuzzers use nothing else.
+//! Events that go into the root engine and actions that come out of it.
 
 use std::time::Duration;
 use tansylead_types::leaf::{LeafAnswer, LeafHealth, LeafRefusal};
--- a/crates/tansylead-query/src/finish.rs
+++ b/crates/tansylead-query/src/finish.rs
@@ -10,7 +10,7 @@
 };
 
 /// Least `retry_after`.
-const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// Least `retry_after` if the configuration or the leafs must change first.
 pub(crate) const RETRY_AFTER_WITHOUT_REPLICAS: Duration = Duration::from_secs(1);
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether any attempt was sent that did not certainly end without running.
+    /// Whether any attempt may have run.
     fn may_have_run(&self) -> bool {
         self.attempts.len() > self.certainly_not_run as usize
     }
@@ -59,7 +59,7 @@
         let unanswered = |shard: &ShardProgress| {
             let reason = missing_reason(shard, outcome)?;
             Some(MissingShard {
-                shard: self.snapshot.shards[shard.entry].shard.clone(),
+                shard: self.snapshot.shards[shard.snapshot_position].shard.clone(),
                 reason,
             })
         };
@@ -75,7 +75,7 @@
         for shard in &mut self.shards {
             if let ShardPhase::Answered(result) = &mut shard.phase {
                 results.push(ShardResult {
-                    shard: self.snapshot.shards[shard.entry].shard.clone(),
+                    shard: self.snapshot.shards[shard.snapshot_position].shard.clone(),
                     result: std::mem::take(result),
                 });
             }
@@ -100,7 +100,7 @@
         let least = if lacks_replica && !lacks_capacity {
             RETRY_AFTER_WITHOUT_REPLICAS
         } else {
-            DEFAULT_RETRY_AFTER
+            MIN_RETRY_AFTER
         };
         let hint = self.retry_hint.unwrap_or_default();
         let wait = context.expected_wait(now, 0);
--- a/crates/tansylead-query/src/hedge.rs
+++ b/crates/tansylead-query/src/hedge.rs
@@ -1,5 +1,5 @@
-//! Hedging: a second attempt for a slow shard on another replica that has room, charged to the retry
-//! budget. Only repeatable queries are hedged, each attempt at most once.
+//! Hedging: a second attempt for a slow shard on another replica that has room, charged to the
+//! retry budget. Only repeatable queries are hedged, each attempt at most once.
 
 use crate::context::Context;
 use crate::dispatch::{AttemptKind, CandidateClass, leafs_with_room};
--- a/crates/tansylead-query/src/hedge_delay.rs
+++ b/crates/tansylead-query/src/hedge_delay.rs
@@ -1,8 +1,8 @@
 //! The learned delay after which an attempt counts as slow: a quantile of recent latencies.
 //!
-//! Two histograms cover overlapping windows: every sample goes into both, and every half window
-//! the older one is cleared and becomes the newer one. The quantile comes from the older one, which always holds between
-//! half a window and a whole window of samples.
+//! Two histograms cover overlapping windows: every sample goes into both, and every half window the
+//! older one is cleared and becomes the newer one. The quantile comes from the older one, which,
+//! while samples keep coming, holds those of between half a window and a whole window.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
--- a/crates/tansylead-query/src/leaf_signals.rs
+++ b/crates/tansylead-query/src/leaf_signals.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Records load figures and a drain mark that came in-band.
+    /// Records the load figures, and the drain mark if there is one, of an answer or a refusal.
     pub(crate) fn record_in_band_load(&mut self, now: Moment, leaf: LeafIndex, load: &LeafLoad) {
         if let Some(state) = self.leafs.get_mut(leaf) {
             state.on_load(now, load);
--- a/crates/tansylead-query/src/leaf_state.rs
+++ b/crates/tansylead-query/src/leaf_state.rs
@@ -107,7 +107,7 @@
 
     /// Whether attempts to the leaf are expected to end with an answer.
     pub(crate) fn is_live(&self, now: Moment) -> bool {
-        self.accepts_work() && !self.is_unreachable() && !self.ejection.is_failing(now)
+        self.accepts_work() && !self.is_unreachable() && !self.ejection.is_ejected_for_failures(now)
     }
 
     /// Whether the leaf is to be used only where no better replica is left.
@@ -138,9 +138,9 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Expected cost of sending one more attempt, for comparison with other leafs. The
-    /// latency of a leaf that has work is at least the time since its last reply, so that a hung leaf
-    /// is avoided before its average shows it.
+    /// Expected cost of sending one more attempt, for comparison with other leafs. The latency of a
+    /// leaf that has work is at least the time since its last reply, so that a hung leaf is avoided
+    /// before its average shows it.
     pub(crate) fn cost(&self, now: Moment, typical_latency: Duration) -> f64 {
         let average = self.latency.average(now).unwrap_or(typical_latency);
         let silent = if self.in_flight > 0 {
--- a/crates/tansylead-query/src/leaf_table.rs
+++ b/crates/tansylead-query/src/leaf_table.rs
@@ -139,7 +139,8 @@
         accepting.map(|leaf| leaf.limit.slots()).sum()
     }
 
-    /// Once a check period, updates the typical latency and returns the leafs to eject as stragglers.
+    /// Once a check period, updates the typical latency and returns the leafs to eject as
+    /// stragglers.
     pub(crate) fn find_stragglers(&mut self, now: Moment) -> Vec<LeafIndex> {
         if now.since(self.checked_at) < STRAGGLER_CHECK_PERIOD {
             return Vec::new();
@@ -239,7 +240,7 @@
     }
 
     fn remove_unlisted(&mut self, listed: &[LeafIndex], changes: &mut LeafChanges) {
-        let mut forgotten = Vec::new();
+        let mut removable = Vec::new();
         for (index, leaf) in &mut self.leafs {
             if listed.binary_search(index).is_ok() {
                 continue;
@@ -248,10 +249,10 @@
                 leaf.configured = false;
                 changes.displaced.push(*index);
             } else if leaf.in_flight == 0 && leaf.waiting.is_empty() {
-                forgotten.push(*index);
+                removable.push(*index);
             }
         }
-        for index in forgotten {
+        for index in removable {
             if let Some(leaf) = self.leafs.remove(&index) {
                 self.indexes.remove(leaf.id());
             }
--- a/crates/tansylead-query/src/leaving.rs
+++ b/crates/tansylead-query/src/leaving.rs
@@ -4,12 +4,12 @@
 //! The leaving mark is cleared only when
 //! - the configuration removes the leaf and adds it again, or gives it another address; or
 //! - the leaf was unreachable (a poll failed or nothing could be sent) after the last signal of its
-//!   own, and at least [`MIN_LEAVING_DURATION`] after the last signal from any source a poll finds it
-//!   healthy and not draining: a new process. An announcement may be about the old process, so it does
-//!   not reset that the leaf was unreachable; or
-//! - no answer or refusal of the leaf itself was a signal, and for [`MIN_LEAVING_DURATION`] no health
-//!   report and no announcement was one: the drain was cancelled. Whoever announces that a leaf is
-//!   leaving repeats it well within that time for as long as it holds.
+//!   own, and at least [`MIN_LEAVING_DURATION`] after the last signal from any source a poll finds
+//!   it healthy and not draining: a new process. An announcement may be about the old process, so
+//!   it does not reset that the leaf was unreachable; or
+//! - no answer or refusal of the leaf itself was a signal, and for [`MIN_LEAVING_DURATION`] no
+//!   health report and no announcement was one: the drain was cancelled. Whoever announces that a
+//!   leaf is leaving repeats it well within that time for as long as it holds.
 
 use std::time::Duration;
 use tansylead_types::Moment;
--- a/crates/tansylead-query/src/query.rs
+++ b/crates/tansylead-query/src/query.rs
@@ -1,6 +1,6 @@
 //! One query in progress: the pinned snapshot, the progress of every addressed shard and all
-//! attempts. Dispatch, attempt ends, hedges, restarts and the final answer each have their own module
-//! with an `impl Query`.
+//! attempts. Dispatch, attempt ends, hedges, restarts and the final answer each have their own
+//! module with an `impl Query`.
 //!
 //! Invariants: results and coverage belong to the pinned snapshot only; a shard is answered at
 //! most once; an attempt of a non-repeatable query is followed by another for the same shard only
@@ -133,9 +133,9 @@
         }
     }
 
-    /// The pinned entry of a shard.
-    pub(crate) fn entry(&self, position: usize) -> &PinnedShard {
-        &self.snapshot.shards[self.shards[position].entry]
+    /// A shard of the query as the pinned snapshot lists it.
+    pub(crate) fn pinned_shard(&self, position: usize) -> &PinnedShard {
+        &self.snapshot.shards[self.shards[position].snapshot_position]
     }
 
     /// Cancels every attempt, wait and backoff; the other timers stay.
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Whether the query is over: nothing is in flight and nothing useful is left to try, or an
-    /// early partial answer is allowed and good enough.
+    /// Whether every shard is answered or given up, or an early partial answer is allowed and good
+    /// enough.
     pub(crate) fn is_over(&self, now: Moment) -> bool {
         self.unsettled == 0 || self.may_answer_early(now)
     }
@@ -163,7 +163,7 @@
         coverage >= self.minimum_coverage
     }
 
-    /// Takes replicas from a newer configuration if it lists the same snapshot.
+    /// Takes replicas from a newer configuration if its snapshot lists the same shards.
     pub(crate) fn refresh_replicas(&mut self, snapshot: Option<&Arc<PinnedSnapshot>>) {
         if let Some(snapshot) = snapshot
             && snapshot.has_same_shards(&self.snapshot)
--- a/crates/tansylead-query/src/restart.rs
+++ b/crates/tansylead-query/src/restart.rs
@@ -1,5 +1,5 @@
-//! Restart of a query on another snapshot when the pinned one goes away. Results of two snapshots are
-//! never mixed: those of the old one are dropped and its attempts cancelled.
+//! Restart of a query on another snapshot when the pinned one goes away. Results of two snapshots
+//! are never mixed: those of the old one are dropped and its attempts cancelled.
 
 use crate::context::Context;
 use crate::query::{Query, addressed_shards};
--- a/crates/tansylead-query/src/retry_budget.rs
+++ b/crates/tansylead-query/src/retry_budget.rs
@@ -1,8 +1,9 @@
-//! Shared token budget for hedges and retries. Each first attempt deposits a fraction of a token, each
-//! extra attempt takes a whole one, so extra attempts never exceed `fraction * first attempts + burst`.
+//! Shared token budget for hedges and retries. Each first attempt deposits a fraction of a token,
+//! each extra attempt takes a whole one, so there are never more extra attempts than
+//! `fraction * first attempts + burst`.
 //!
-//! Hedges leave half of the burst untouched: they only reduce latency, while a retry after a failure
-//! preserves coverage and must not be starved by steady hedging.
+//! Hedges leave half of the burst untouched: they only reduce latency, while a retry after a
+//! failure preserves coverage and must not be starved by steady hedging.
 
 const PERCENT: f64 = 100.0;
 /// Fraction of the burst that only retries may use.
--- a/crates/tansylead-query/src/shard_progress.rs
+++ b/crates/tansylead-query/src/shard_progress.rs
@@ -47,7 +47,7 @@
     None,
     /// It did not run, and another replica is likely to serve; the next one is no extra load.
     Redirected,
-    /// It may have run, or was shed; the next one is extra load.
+    /// It may have run, was shed or expired; the next one is extra load.
     NeedsBudget,
 }
 
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct ShardProgress {
     /// Position in the pinned snapshot's shard list.
-    pub(crate) entry: usize,
+    pub(crate) snapshot_position: usize,
     /// Phase of the shard.
     pub(crate) phase: ShardPhase,
     /// Attempts in flight.
@@ -82,9 +82,9 @@
 
 impl ShardProgress {
     /// Progress of a shard that has not been dispatched.
-    pub(crate) fn new(entry: usize) -> Self {
+    pub(crate) fn new(snapshot_position: usize) -> Self {
         Self {
-            entry,
+            snapshot_position,
             phase: ShardPhase::Open,
             running: 0,
             sent_at: Moment::default(),
--- a/crates/tansylead-query/src/snapshot_belief.rs
+++ b/crates/tansylead-query/src/snapshot_belief.rs
@@ -1,8 +1,8 @@
 //! Which snapshots and shards one leaf is believed to hold.
 //!
-//! The configuration says which leafs should hold a shard. In-band evidence (an answer or a refusal of
-//! the leaf) outweighs its health report for [`IN_BAND_LIFETIME`]. A health report that does not list
-//! the snapshot only makes the leaf a last resort: reports lag, and trying costs one refusal.
+//! The configuration says which leafs should hold a shard. In-band evidence (an answer or a refusal
+//! of the leaf) outweighs its health report for [`IN_BAND_LIFETIME`]. A health report that does not
+//! list the snapshot only makes the leaf a last resort: reports lag, and trying costs one refusal.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -90,8 +90,8 @@
         true
     }
 
-    /// Drops expired evidence about snapshots that are no longer configured. Queries in progress may
-    /// still be pinned to them, so recent evidence is kept.
+    /// Drops expired evidence about snapshots that are no longer configured. Queries in progress
+    /// may still be pinned to them, so recent evidence is kept.
     pub(crate) fn retain_versions(&mut self, now: Moment, versions: &BTreeSet<SnapshotVersion>) {
         let is_recent = |at: Moment| now.since(at) < IN_BAND_LIFETIME;
         self.in_band
--- a/crates/tansylead-query/src/snapshot_choice.rs
+++ b/crates/tansylead-query/src/snapshot_choice.rs
@@ -1,8 +1,8 @@
 //! Choice of the snapshot a query is pinned to.
 //!
-//! The newest snapshot is chosen for which every addressed shard has a live replica believed to hold
-//! it; if there is none, the one with the best coverage (the newest among equals). A snapshot without
-//! shards is never chosen: it would make an empty answer look complete.
+//! The newest snapshot is chosen for which every addressed shard has a live replica believed to
+//! hold it; if there is none, the one with the best coverage (the newest among equals). A snapshot
+//! without shards is never chosen: it would make an empty answer look complete.
 
 use crate::leaf_table::{LeafIndex, LeafTable};
 use std::sync::Arc;
@@ -113,11 +113,11 @@
 impl SnapshotCatalog {
     /// Applies the snapshots of a placement.
     pub(crate) fn configure(&mut self, placement: &ServicePlacement, leafs: &LeafTable) {
-        let translated = placement
+        let converted = placement
             .snapshots
             .iter()
             .map(|snapshot| Arc::new(PinnedSnapshot::new(snapshot, leafs)));
-        self.snapshots = translated
+        self.snapshots = converted
             .filter(|snapshot| !snapshot.shards.is_empty())
             .collect();
         self.snapshots
@@ -206,7 +206,7 @@
     /// Fraction with a replica that is expected to answer.
     live: f64,
     /// Fraction with a replica that an attempt may be sent to at all.
-    askable: f64,
+    servable: f64,
 }
 
 impl Availability {
@@ -218,7 +218,7 @@
     ) -> Self {
         let addressed = snapshot.addressed(routing_key);
         let total = addressed.len() as f64;
-        let (mut live, mut askable) = (0, 0);
+        let (mut live, mut servable) = (0, 0);
         for entry in &snapshot.shards[addressed] {
             let mut serving = entry
                 .replicas
@@ -226,18 +226,18 @@
                 .filter_map(|index| leafs.get(*index))
                 .filter(|leaf| leaf.may_serve(now, snapshot.version, &entry.shard))
                 .peekable();
-            askable += u32::from(serving.peek().is_some());
+            servable += u32::from(serving.peek().is_some());
             live += u32::from(serving.any(|leaf| {
                 leaf.is_live(now) && leaf.likely_holds(now, snapshot.version, &entry.shard)
             }));
         }
         Self {
             live: f64::from(live) / total,
-            askable: f64::from(askable) / total,
+            servable: f64::from(servable) / total,
         }
     }
 
     fn exceeds(&self, other: &Availability) -> bool {
-        (self.live, self.askable) > (other.live, other.askable)
+        (self.live, self.servable) > (other.live, other.servable)
     }
 }
