--- a/crates/tansylead-query/tests/engine/fuzz.rs
+++ b/crates/tansylead-query/tests/engine/fuzz.rs
@@ -1,4 +1,5 @@
-//! Stateful fuzz test of the engine. `FUZZ_SEED` and `FUZZ_CASES` set the seed and the number of cases.
+//! Stateful fuzz test of the engine. `FUZZ_SEED` and `FUZZ_CASES` set the seed and the number of
+//! cases.
 
 use crate::builders::{descriptor, snapshot};
 use crate::transitions::{LEAFS, Script, Step, apply};
--- a/crates/tansylead-query/tests/engine/load_mechanisms.rs
+++ b/crates/tansylead-query/tests/engine/load_mechanisms.rs
@@ -1,5 +1,5 @@
-//! Tests of the mechanisms that spread and bound load: replica choice, ejection, slow start, limits,
-//! waiting, hedges, retry budget, admission.
+//! Tests of the mechanisms that spread and bound load: replica choice, ejection, slow start,
+//! limits, waiting, hedges, retry budget, admission.
 
 use crate::builders::*;
 use crate::mechanisms::*;
@@ -17,7 +17,7 @@
 
 #[test]
 fn two_choices_send_less_to_a_slow_leaf_than_random_choice() {
-    let slow_share = |tuning: EngineTuning| {
+    let slow_leaf_attempts = |tuning: EngineTuning| {
         let leafs = (0..4).map(|number| descriptor(number, 5)).collect();
         let snapshots = vec![snapshot(1, 4, 4)];
         let mut world = World::new(tuning, ServicePolicy::default(), leafs, snapshots);
@@ -26,9 +26,9 @@
         attempts_on(&world, 1)
     };
     let mut tuning = EngineTuning::baseline();
-    let random = slow_share(tuning.clone());
+    let random = slow_leaf_attempts(tuning.clone());
     tuning.replica_choice = tansylead_query::ReplicaChoice::PowerOfTwoChoices;
-    let two_choices = slow_share(tuning);
+    let two_choices = slow_leaf_attempts(tuning);
     assert!(two_choices * 4 < random, "{two_choices} and {random}");
 }
 
@@ -335,7 +335,8 @@
     world.assert_clean();
 }
 
-/// Found by the fuzz test: the deadline was due when a paused root received the caller's disconnect.
+/// Found by the fuzz test: the deadline was due when a paused root received the caller's
+/// disconnect.
 #[test]
 fn caller_gone_at_a_root_paused_past_the_deadline_gets_no_answer() {
     let mut world = world();
@@ -347,8 +348,8 @@
     world.assert_clean();
 }
 
-/// Found by the fuzz test: hedges were due when a paused root received the configuration that removes
-/// the leafs they would have been sent to.
+/// Found by the fuzz test: hedges were due when a paused root received the configuration that
+/// removes the leafs they would have been sent to.
 #[test]
 fn paused_root_hears_of_leafs_before_it_hedges() {
     let mut world = world();
--- a/crates/tansylead-query/tests/engine/oracle.rs
+++ b/crates/tansylead-query/tests/engine/oracle.rs
@@ -1,5 +1,5 @@
-//! The oracle: records what was sent, what may have run and what leafs reported, independently of the
-//! engine's code, and checks each action against these records.
+//! The oracle: records what was sent, what may have run and what leafs reported, independently of
+//! the engine's code, and checks each action against these records.
 
 use crate::builders::ROOT;
 use std::collections::{BTreeMap, BTreeSet};
@@ -358,7 +358,7 @@
         }
     }
 
-    /// Checks a leaf that shards wait for.
+    /// Checks that a leaf that shards wait for is configured and not leaving.
     pub fn check_waited_for(&mut self, leaf: &LeafId) {
         if self.leaving.contains_key(leaf) || !self.slots.contains_key(leaf) {
             self.violation(format!("shards wait for {leaf}, which gets no work"));
@@ -386,8 +386,8 @@
                 extra += (sent - 1).saturating_sub(not_run);
             }
         }
-        let share = self.highest_percent / 100.0 * first as f64;
-        let allowed = share + f64::from(tuning.retry_budget_burst);
+        let deposited = self.highest_percent / 100.0 * first as f64;
+        let allowed = deposited + f64::from(tuning.retry_budget_burst);
         if extra as f64 > allowed + 1e-6 {
             self.violation(format!("{extra} extra attempts, {allowed} allowed"));
         }
--- a/crates/tansylead-query/tests/engine/transitions.rs
+++ b/crates/tansylead-query/tests/engine/transitions.rs
@@ -18,11 +18,17 @@
 /// How an attempt ends.
 #[derive(Debug, Clone, Copy)]
 pub enum End {
-    Answer { draining: bool },
-    Crossed { other: u16 },
+    Answer {
+        draining: bool,
+    },
+    /// Answer to an attempt of another query, if there is one.
+    Crossed {
+        other: u16,
+    },
     OtherSnapshot,
     OtherRoot,
     Refuse(RefusalReason),
+    /// Refusal of another attempt.
     RefuseCrossed,
     NotSent,
     Expired,
@@ -34,7 +40,9 @@
 pub enum Kind {
     Lookup,
     RoutedLookup,
+    /// Non-repeatable, addressed to one shard.
     Post,
+    /// Non-repeatable, addressed to every shard.
     PostToAll,
 }
 
@@ -53,6 +61,7 @@
     AnswerMany {
         count: u8,
     },
+    /// Reports an end for an attempt that has ended or was cancelled.
     EndPast {
         pick: u16,
         end: End,
@@ -60,6 +69,7 @@
     Advance {
         micros: u64,
     },
+    /// Pauses the process: timers that come due meanwhile fire late, on a wakeup or the next event.
     Freeze {
         millis: u64,
         woken_by_timer: bool,
--- a/crates/tansylead-query/tests/engine/variants.rs
+++ b/crates/tansylead-query/tests/engine/variants.rs
@@ -1,5 +1,5 @@
-//! Broken variants: each test breaks one guarantee by tampering between the engine and the oracle, as
-//! an engine without the mechanism would, and the fuzz test must notice.
+//! Broken variants: each test breaks one guarantee by tampering between the engine and the oracle,
+//! as an engine without the mechanism would, and the fuzz test must notice.
 
 use crate::builders::{ROOT, request_id};
 use crate::fuzz::Series;
--- a/crates/tansylead-query/tests/engine/world.rs
+++ b/crates/tansylead-query/tests/engine/world.rs
@@ -98,13 +98,13 @@
         let actions = self
             .engine
             .configure(self.now, &definition(policy), &tampered_placement);
-        self.take(actions)
+        self.process_actions(actions)
     }
 
     pub fn set_roots(&mut self, roots: u32) -> Vec<RootAction> {
         self.oracle.roots = roots;
         let actions = self.engine.set_leaf_share(self.now, roots);
-        self.take(actions)
+        self.process_actions(actions)
     }
 
     pub fn set_rate(&mut self, queries_per_second: f64) {
@@ -141,7 +141,7 @@
             (self.tampering.result)(*query, *attempt, result);
         }
         let actions = self.engine.on_event(self.now, event);
-        self.take(actions)
+        self.process_actions(actions)
     }
 
     /// Advances the time and wakes the engine at each wakeup it requested.
@@ -200,8 +200,9 @@
         wanted.map(|record| record.send.clone()).collect()
     }
 
-    fn take(&mut self, actions: Vec<RootAction>) -> Vec<RootAction> {
-        let mut seen = Vec::new();
+    /// Passes the actions to the oracle; returns those that the tampering keeps.
+    fn process_actions(&mut self, actions: Vec<RootAction>) -> Vec<RootAction> {
+        let mut kept = Vec::new();
         for mut action in actions {
             if !(self.tampering.action)(&action) {
                 continue;
@@ -213,10 +214,10 @@
             if let RootAction::Finish { answer, .. } = &action {
                 self.finished.push(answer.clone());
             }
-            seen.push(action);
+            kept.push(action);
         }
         self.check();
-        seen
+        kept
     }
 
     fn check(&mut self) {
