--- a/crates/tansylead-cluster/src/codec.rs
+++ b/crates/tansylead-cluster/src/codec.rs
@@ -1,9 +1,9 @@
-//! Bytes of the UDP packets between daemons: a frame of protocol version and cluster hash around
-//! a postcard-encoded [`GossipPacket`].
+//! Encoding of the UDP packets between daemons: a frame header (protocol version and cluster hash)
+//! followed by a postcard-encoded [`GossipPacket`].
 //!
 //! Invariants: encoding never yields more than [`MAXIMUM_PACKET_BYTES`]; decoding arbitrary bytes
 //! never panics; a packet of another cluster or protocol version is refused before its contents
-//! are looked at.
+//! are decoded.
 
 use crate::membership::GossipPacket;
 use xxhash_rust::xxh3::xxh3_64;
@@ -17,11 +17,11 @@
 const VERSION_BYTES: usize = 1;
 const CLUSTER_HASH_BYTES: usize = 8;
 
-/// Bytes of the frame in front of the packet contents.
+/// Size of the frame header in front of the packet contents.
 pub const FRAME_HEADER_BYTES: usize = VERSION_BYTES + CLUSTER_HASH_BYTES;
 
-/// The frame in front of the contents of every packet: protocol version and cluster hash. Packets
-/// of several kinds share a socket under different versions.
+/// The header in front of the contents of every packet: protocol version and cluster hash. Several
+/// kinds of packet share a socket and are told apart by their versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PacketFrame {
     version: u8,
@@ -29,7 +29,7 @@
 }
 
 impl PacketFrame {
-    /// The frame of packets of this version within the cluster of this name.
+    /// Header for packets of this version in the cluster of this name.
     pub fn new(version: u8, cluster: &str) -> Self {
         Self {
             version,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A packet without contents, with room for the longest.
+    /// A buffer that holds the header, with capacity for the largest packet.
     pub fn begin(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(MAXIMUM_PACKET_BYTES);
         bytes.push(self.version);
@@ -45,7 +45,7 @@
         bytes
     }
 
-    /// The contents of a packet with this frame.
+    /// Checks the header of a packet and returns the contents after it.
     pub fn contents<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], PacketError> {
         let truncated = PacketError::Truncated { bytes: bytes.len() };
         let (version, rest) = bytes.split_first().ok_or_else(|| truncated.clone())?;
--- a/crates/tansylead-cluster/src/routing/judge_ranking.rs
+++ b/crates/tansylead-cluster/src/routing/judge_ranking.rs
@@ -1,29 +1,28 @@
-//! Which daemons judge the roll-outs of a service: the first few members in rendezvous order, spread over
-//! places. No election: daemons that see different members may for a while rank a judge too many or too few,
-//! which does no harm.
+//! Which daemons judge the roll-outs of a service: the first few members by rendezvous hashing, spread over
+//! places. There is no election: while daemons see different members, there may be a judge too many or too
+//! few, which does no harm.
 //!
-//! Invariants: equal members, in any order, give equal judges; members that differ by one change at most one
-//! judge; no place has two judges while another place with members has none.
+//! Invariants: equal members, in any order, give equal judges; adding or removing one member changes at most
+//! one judge; no place has two judges while another place with members has none.
 
 use crate::membership::MemberRecord;
 use std::collections::BTreeMap;
 use tansylead_types::{NodeId, PlaceName, ServiceName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Judges of a service, best first: one that decides and two that may follow it, so that two machines may be
-/// lost at once.
-pub const JUDGES: usize = 3;
+/// Number of judges of a service: one that decides and two standbys, so that two machines may be lost at once.
+pub const JUDGE_COUNT: usize = 3;
 
-/// A member in the order of those that judge a service; the least is the first judge.
+/// Sort key of a member; the lowest is the first judge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct JudgeRank {
-    /// Members of the same place that score better.
+    /// Number of members of the same place with a better score.
     better_in_place: usize,
     score: u64,
     node: NodeId,
 }
 
-/// The judges of a service among the members that take work, best first.
+/// The judges of a service among the members that take work, in order of rank.
 pub fn judges<'a>(
     service: &ServiceName,
     members: impl IntoIterator<Item = &'a MemberRecord>,
@@ -37,13 +36,13 @@
     }
     let mut ranks: Vec<JudgeRank> = places.into_values().flat_map(ranks_in_place).collect();
     ranks.sort_unstable();
-    ranks.truncate(JUDGES);
+    ranks.truncate(JUDGE_COUNT);
     ranks.into_iter().map(|rank| rank.node).collect()
 }
 
 fn ranks_in_place(mut members: Vec<(u64, NodeId)>) -> impl Iterator<Item = JudgeRank> {
     members.sort_unstable();
-    let ranks = members.into_iter().take(JUDGES).enumerate();
+    let ranks = members.into_iter().take(JUDGE_COUNT).enumerate();
     ranks.map(|(better_in_place, (score, node))| JudgeRank {
         better_in_place,
         score,
--- a/crates/tansylead-cluster/src/routing/mod.rs
+++ b/crates/tansylead-cluster/src/routing/mod.rs
@@ -2,7 +2,7 @@
 //! sends a query, which daemons judge the roll-outs of a service, and how the roots of a place share
 //! the limit of the operators' table.
 //!
-//! Owns four pure parts, each of which takes plain values and holds no view of membership:
+//! Four independent parts, each of which takes plain values and keeps no view of membership:
 //! - [`serving_set`]: the roots of a (service, place), the same on every daemon with the same view;
 //! - [`choose_place`] and [`choose_root`]: where one query goes;
 //! - [`judges()`]: which daemons judge the roll-outs of a service;
@@ -17,7 +17,7 @@
 mod share_lease;
 mod share_message;
 
-pub use judge_ranking::{JUDGES, judges};
+pub use judge_ranking::{JUDGE_COUNT, judges};
 pub use leaving_notices::{LeavingNotice, LeavingNotices, RENEWAL_PERIOD};
 pub use place_choice::{PlaceChoice, RefuseCause, choose_place, choose_root, largest_limit};
 pub use place_state::{PlaceState, RootReport, RootState, ServicePlaces};
--- a/crates/tansylead-cluster/src/routing/place_choice.rs
+++ b/crates/tansylead-cluster/src/routing/place_choice.rs
@@ -1,17 +1,16 @@
 //! Choice of the place, and of the root in it, for one query.
 //!
 //! The rule, for the row of the operators' table in force at this hour:
-//! 1. A place *takes part* if it has a row with weight above 0 and limit above 0. It *has room* if
+//! 1. A place is *enabled* if it has a row with weight above 0 and limit above 0. It *has room* if
 //!    one of its reachable roots has: see [`super::RootState::has_room`].
-//! 2. The caller's own place is chosen if it takes part and has room.
-//! 3. Otherwise the query spills: one of the other places that take part and have room is drawn
+//! 2. The caller's own place is chosen if it is enabled and has room.
+//! 3. Otherwise the query spills: one of the other enabled places with room is chosen at random
 //!    with probability proportional to its weight.
 //! 4. If there is none the query is refused at once, with the time after which room is expected.
 //!
-//! So weights split the traffic that its own place does not keep: all traffic that arrives at a
-//! place with weight 0, and what exceeds the room of a place that takes part. A place that
-//! reaches its limit hands its share of spilled traffic to the others, in proportion to their
-//! weights.
+//! So weights split only the traffic that leaves its own place: all traffic that arrives at a place
+//! with weight 0, and what exceeds the room of an enabled place. When a place reaches its limit,
+//! its share of spilled traffic goes to the others in proportion to their weights.
 
 use super::place_state::ServicePlaces;
 use rand::{Rng, RngExt};
@@ -20,7 +19,7 @@
 
 /// Shortest time a refused caller is told to wait.
 pub const MINIMUM_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Time a caller is told to wait if no place takes part or none is reachable.
+/// Time a caller is told to wait if no place is enabled or no root is reachable.
 pub const NO_PLACE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Why no place was chosen.
@@ -28,11 +27,11 @@
 pub enum RefuseCause {
     /// No place has a weight and a limit above 0 for the service at this hour.
     #[error("no place takes this service at this hour")]
-    NoPlaceTakesPart,
-    /// No root of a place that takes part is reachable.
+    NoPlaceEnabled,
+    /// No root of an enabled place is reachable.
     #[error("no root of a place that takes this service is reachable")]
     NoRootReachable,
-    /// All places that take part are at their limits.
+    /// All enabled places are at their limits.
     #[error("every place that takes this service is at its limit")]
     NoRoom,
 }
@@ -66,9 +65,9 @@
     places: &ServicePlaces,
     random: &mut impl Rng,
 ) -> PlaceChoice {
-    let taking_part = places_taking_part(service, hour, table);
+    let enabled = enabled_places(service, hour, table);
     let has_room = |place: &PlaceName| places.place(place).is_some_and(|state| state.has_room(now));
-    let with_room: Vec<WeightedPlace<'_>> = taking_part
+    let with_room: Vec<WeightedPlace<'_>> = enabled
         .iter()
         .copied()
         .filter(|candidate| has_room(candidate.place))
@@ -81,13 +80,13 @@
             place: chosen.place.clone(),
             spilled: chosen.place != own_place,
         },
-        None => refuse(now, &taking_part, places),
+        None => refuse(now, &enabled, places),
     }
 }
 
-/// Chooses the root for a query in a place: this daemon itself if it is one and has room, else one
-/// drawn among those with room, in proportion to the room they reported; roots without a fresh
-/// report count like the roomiest. None if no root has room.
+/// Chooses the root for a query in a place: this daemon itself if it is a root with room, else one
+/// at random among those with room, weighted by the room they reported; a root without a fresh
+/// report counts as having the most room reported. `None` if no root has room.
 pub fn choose_root(
     now: Moment,
     own_node: NodeId,
@@ -101,9 +100,9 @@
         return Some(own_node);
     }
     let reported = with_room().filter_map(|(_, root)| root.reported_room(now));
-    let roomiest = reported.fold(1.0, f64::max);
+    let most_room = reported.fold(1.0, f64::max);
     let rooms: Vec<(NodeId, f64)> = with_room()
-        .map(|(node, root)| (node, root.reported_room(now).unwrap_or(roomiest)))
+        .map(|(node, root)| (node, root.reported_room(now).unwrap_or(most_room)))
         .collect();
     let total: f64 = rooms.iter().map(|(_, room)| room).sum();
     let mut point = random.random::<f64>() * total;
@@ -131,7 +130,7 @@
     weight: u32,
 }
 
-fn places_taking_part<'a>(
+fn enabled_places<'a>(
     service: &ServiceName,
     hour: u8,
     table: &'a TrafficTable,
@@ -167,13 +166,13 @@
     None
 }
 
-fn refuse(now: Moment, taking_part: &[WeightedPlace<'_>], places: &ServicePlaces) -> PlaceChoice {
-    let expected = taking_part
+fn refuse(now: Moment, enabled: &[WeightedPlace<'_>], places: &ServicePlaces) -> PlaceChoice {
+    let earliest_retry = enabled
         .iter()
-        .filter_map(|candidate| places.place(candidate.place)?.callers_expected_at(now))
+        .filter_map(|candidate| places.place(candidate.place)?.retry_at(now))
         .min();
-    let (cause, retry_after) = match expected {
-        _ if taking_part.is_empty() => (RefuseCause::NoPlaceTakesPart, NO_PLACE_RETRY_AFTER),
+    let (cause, retry_after) = match earliest_retry {
+        _ if enabled.is_empty() => (RefuseCause::NoPlaceEnabled, NO_PLACE_RETRY_AFTER),
         None => (RefuseCause::NoRootReachable, NO_PLACE_RETRY_AFTER),
         Some(at) => (RefuseCause::NoRoom, at.since(now).max(MINIMUM_RETRY_AFTER)),
     };
--- a/crates/tansylead-cluster/src/routing/serving_set.rs
+++ b/crates/tansylead-cluster/src/routing/serving_set.rs
@@ -1,13 +1,13 @@
 //! Serving sets: the few daemons of a place that are roots of a service there.
 //!
-//! Owns the number of roots (from configuration alone) and their selection (rendezvous hashing
-//! over the live members of the place). Invariants:
-//! - the number of slots never depends on membership, so each slot stands for a fixed part of the
+//! The number of roots follows from configuration alone; rendezvous hashing over the live members
+//! of the place selects them. Invariants:
+//! - the number of slots never depends on membership, so each slot carries a fixed part of the
 //!   table's limit;
 //! - slots x connections per root x [`MEMBERSHIP_VIEWS`] stays under every leaf's connection limit;
 //! - with at least two slots and two zones the roots are never all in one zone;
-//! - a member or zone that is lost moves no slot that a member of another zone holds, except where
-//!   that one stands in for a zone without members;
+//! - losing a member or a zone moves no slot held by a member of another zone, except a slot that
+//!   the member holds in place of a zone without members;
 //! - equal inputs, in any order, give equal sets.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,24 +15,24 @@
 use tansylead_types::{LeafDescriptor, NodeId, PlaceName, ServiceName, ServicePlacement, ZoneName};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Views of membership that may be in use at once while a change spreads.
+/// Number of different membership views that may be in use at once while a change spreads.
 pub const MEMBERSHIP_VIEWS: u32 = 2;
-/// Connections of each leaf left to health polls and people.
+/// Connections of each leaf reserved for health polls and operators.
 pub const RESERVED_CONNECTIONS: u32 = 4;
 /// Fewest roots of a service in a place, where the leafs' connection limits allow it.
 pub const MINIMUM_ROOTS: u32 = 2;
-/// Most roots of a service in a place; sharing a limit among more costs more than it carries.
+/// Most roots of a service in a place; sharing a limit among more costs more than the extra roots carry.
 pub const MAXIMUM_ROOTS: u32 = 15;
-/// A zone with less than the mean number of members divided by this is small.
+/// A zone with fewer members than the mean divided by this is small.
 pub const SMALL_ZONE_DIVISOR: usize = 4;
-/// Leaf attempts per second that one root is planned to carry for one service.
+/// Leaf attempts per second that one root is sized for, per service.
 pub const ROOT_ATTEMPTS_PER_SECOND: u64 = 10_000;
 
 /// A daemon that may become a root.
 ///
 /// The caller passes members that are alive **or suspected**: a suspicion is often refuted, and
-/// removing a root for it would move its slot twice. Members that are leaving are left out at
-/// once, dead ones when their death is confirmed.
+/// removing a root for it would move its slot twice. Leaving members are left out at once, failed
+/// ones when the failure is confirmed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Candidate {
     /// The daemon.
@@ -55,8 +55,8 @@
 /// The roots of a service in a place.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServingSet {
-    /// Owner of each slot. Its length is the plan's `root_count`, or 0 without any member. A node
-    /// owns more than one slot only if the place has fewer members than slots.
+    /// Owner of each slot; `root_count` entries, or none if the place has no members. A node owns
+    /// more than one slot only if the place has fewer members than slots.
     pub roots: Vec<NodeId>,
     /// Most connections one root opens to any one leaf, whatever number of slots it owns.
     pub connections_per_root: u32,
@@ -74,22 +74,22 @@
     }
 }
 
-/// Number of roots and connections from configuration alone. `table_limit` is the largest limit
+/// Number of roots and connections, from configuration alone. `table_limit` is the largest limit
 /// of any hour for this service and place, so that the plan does not change with the hour.
 pub fn serving_plan(placement: &ServicePlacement, table_limit: u32) -> ServingPlan {
     let usable = usable_connections(placement);
     let slots = placement.leafs.iter().map(|leaf| leaf.slots).max();
     let slots = slots.unwrap_or(1).max(1);
-    let demanded = demanded_roots(placement, table_limit);
-    let affordable_for_demand = usable / slots;
-    let root_count = demanded
-        .min(affordable_for_demand)
+    let required = required_roots(placement, table_limit);
+    let affordable_roots = usable / slots;
+    let root_count = required
+        .min(affordable_roots)
         .max(MINIMUM_ROOTS)
         .min(usable);
-    let affordable_each = usable.checked_div(root_count).unwrap_or(0);
+    let connections_each = usable.checked_div(root_count).unwrap_or(0);
     ServingPlan {
         root_count,
-        connections_per_root: affordable_each.min(slots.saturating_mul(2)),
+        connections_per_root: connections_each.min(slots.saturating_mul(2)),
     }
 }
 
@@ -110,7 +110,8 @@
     }
 }
 
-/// Connections that all roots of one view may open to the leaf with the fewest.
+/// Connections that all roots of one membership view together may open to the leaf with the
+/// lowest limit.
 fn usable_connections(placement: &ServicePlacement) -> u32 {
     let usable = |leaf: &LeafDescriptor| {
         let unreserved = leaf
@@ -126,8 +127,8 @@
         .unwrap_or(MAXIMUM_ROOTS)
 }
 
-/// Roots that the attempts of `table_limit` queries per second need.
-fn demanded_roots(placement: &ServicePlacement, table_limit: u32) -> u32 {
+/// Roots needed to carry the attempts of `table_limit` queries per second.
+fn required_roots(placement: &ServicePlacement, table_limit: u32) -> u32 {
     let shards = placement
         .snapshots
         .iter()
@@ -151,8 +152,8 @@
         .collect()
 }
 
-/// Zones in the order in which the slots take them. Zones of leafs are named by configuration, so
-/// the order stays when a zone loses all its members.
+/// Zones in the order in which slots are bound to them. The zones of leafs come from configuration,
+/// so the order does not change when a zone loses all its members.
 fn zones_in_order<'a>(
     service: &ServiceName,
     place: &PlaceName,
@@ -166,9 +167,9 @@
     zones
 }
 
-/// Fills the slots. First each slot is bound to a zone, in turn, and takes a member of it; so the
-/// loss of a member or a zone moves no slot of another zone. Slots whose zone has no members, or
-/// much fewer than others, then take any member, of unused zones first.
+/// Fills the slots. First the slots are bound to zones in turn, and each takes a member of its
+/// zone, so the loss of a member or a zone moves no slot of another zone. Slots whose zone has no
+/// members, or far fewer than others, then take any member, preferring unused zones.
 fn select_roots(
     service: &ServiceName,
     place: &PlaceName,
@@ -182,8 +183,8 @@
     for (slot, zone) in (0..root_count).zip(zones.iter().cycle()) {
         let in_zone = |node: &NodeId| large_zones.contains(zone) && members[node] == *zone;
         let seed = slot_seed(service, place, slot);
-        let free = |node: &NodeId| !slots.contains(&Some(*node));
-        let chosen = best(seed, members, |node| in_zone(node) && free(node));
+        let is_free = |node: &NodeId| !slots.contains(&Some(*node));
+        let chosen = highest_scoring(seed, members, |node| in_zone(node) && is_free(node));
         slots.push(chosen);
     }
     for slot in 0..slots.len() {
@@ -191,18 +192,18 @@
             continue;
         }
         let seed = slot_seed(service, place, slot as u32);
-        let free = |node: &NodeId| !slots.contains(&Some(*node));
+        let is_free = |node: &NodeId| !slots.contains(&Some(*node));
         let used: BTreeSet<&ZoneName> = slots.iter().flatten().map(|node| members[node]).collect();
         let in_unused_zone = |node: &NodeId| !used.contains(members[node]);
-        slots[slot] = best(seed, members, in_unused_zone)
-            .or_else(|| best(seed, members, free))
-            .or_else(|| best(seed, members, |_| true));
+        slots[slot] = highest_scoring(seed, members, in_unused_zone)
+            .or_else(|| highest_scoring(seed, members, is_free))
+            .or_else(|| highest_scoring(seed, members, |_| true));
     }
     slots.into_iter().flatten().collect()
 }
 
-/// Zones with enough members to carry a whole zone's slots: after the loss of a zone, the first
-/// member that is back must not become root of all its services.
+/// Zones with enough members to fill all slots of a zone. After the loss of a zone, the first
+/// member to return must not become root of all the zone's services.
 fn large_zones<'a>(members: &Members<'a>) -> BTreeSet<&'a ZoneName> {
     let mut sizes: BTreeMap<&ZoneName, usize> = BTreeMap::new();
     for zone in members.values() {
@@ -215,7 +216,11 @@
 }
 
 /// The eligible member with the highest hash.
-fn best(seed: u64, members: &Members<'_>, is_eligible: impl Fn(&NodeId) -> bool) -> Option<NodeId> {
+fn highest_scoring(
+    seed: u64,
+    members: &Members<'_>,
+    is_eligible: impl Fn(&NodeId) -> bool,
+) -> Option<NodeId> {
     let eligible = members.keys().copied().filter(is_eligible);
     eligible.max_by_key(|&node| (xxh3_64_with_seed(&node_bytes(node), seed), node))
 }
--- a/crates/tansylead-cluster/tests/judge_ranking.rs
+++ b/crates/tansylead-cluster/tests/judge_ranking.rs
@@ -1,10 +1,11 @@
-//! Judges of roll-outs: the same for all daemons, spread over places and services, and steady.
+//! Selection of roll-out judges: the same on all daemons, spread over places and services, and stable
+//! when members change.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 use tansylead_cluster::membership::{Capacity, MemberRecord, MemberState};
-use tansylead_cluster::routing::{JUDGES, judges};
+use tansylead_cluster::routing::{JUDGE_COUNT, judges};
 use tansylead_types::{InstanceId, NodeId, PlaceName, ServiceName, ZoneName};
 
 fn config() -> ProptestConfig {
@@ -70,7 +71,7 @@
     fn no_place_has_two_judges_while_another_has_none(members in fleet()) {
         let places: BTreeSet<&PlaceName> = members.iter().map(|member| &member.place).collect();
         let chosen = judges(&service(1), &members);
-        prop_assert_eq!(chosen.len(), members.len().min(JUDGES));
+        prop_assert_eq!(chosen.len(), members.len().min(JUDGE_COUNT));
         let judging = members.iter().filter(|member| chosen.contains(&member.node()));
         let judging: BTreeSet<&PlaceName> = judging.map(|member| &member.place).collect();
         prop_assert_eq!(judging.len(), places.len().min(chosen.len()));
--- a/crates/tansylead-cluster/tests/leaving_notices.rs
+++ b/crates/tansylead-cluster/tests/leaving_notices.rs
@@ -1,5 +1,5 @@
-//! Every root is told that a leaf is leaving, also one that becomes a root later, and told again
-//! after a while.
+//! Every root, including later ones, is sent a notice about a leaving leaf, and the notice is
+//! repeated.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     let mut notices = LeavingNotices::default();
     let roots = BTreeSet::from([node(1), node(2)]);
     let first = notices.due(NOW, node(1), &leafs(&["a"]), &roots);
-    notices.on_failed(&first[0]);
+    notices.on_delivery_failed(&first[0]);
     assert_eq!(notices.due(NOW, node(1), &leafs(&["a"]), &roots), first);
 }
 
--- a/crates/tansylead-cluster/tests/place_choice.rs
+++ b/crates/tansylead-cluster/tests/place_choice.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Every place with two reachable roots and nothing known about their room.
+/// Every place with two reachable roots that have not reported yet.
 fn all_reachable() -> ServicePlaces {
     let mut places = ServicePlaces::default();
     for (number, name) in PLACES.iter().enumerate() {
@@ -65,7 +65,7 @@
     )
 }
 
-/// What one root is known to do: nothing, room, no room, refusing, or no longer reachable.
+/// What is known about one root.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Known {
     Nothing,
@@ -109,19 +109,19 @@
             }
         }
         let mut random = StdRng::seed_from_u64(seed);
-        // After 2 s reports are no longer believed and the back-off is over.
+        // After 2 s reports have expired and the backoff is over.
         for is_late in [false, true] {
             let now = if is_late { NOW + Duration::from_secs(2) } else { NOW };
             let own_place = place(PLACES[own]);
             let choice = choose_place(now, &service(), 0, &own_place, &table, &places, &mut random);
             let eligible = |number: usize| {
-                let takes_part = rows[number].0 > 0 && rows[number].1 > 0;
+                let is_enabled = rows[number].0 > 0 && rows[number].1 > 0;
                 let room = match known[number] {
                     Known::Nothing | Known::Room => true,
                     Known::Full | Known::Refusing => is_late,
                     Known::Gone => false,
                 };
-                takes_part && room
+                is_enabled && room
             };
             match choice {
                 PlaceChoice::Place { place, spilled } => {
@@ -133,8 +133,8 @@
                 PlaceChoice::Refuse { cause, retry_after } => {
                     prop_assert!((0..3).all(|number| !eligible(number)));
                     prop_assert!(retry_after >= Duration::from_millis(100));
-                    let nobody = rows.iter().all(|&(weight, limit)| weight == 0 || limit == 0);
-                    prop_assert_eq!(cause == RefuseCause::NoPlaceTakesPart, nobody);
+                    let none_enabled = rows.iter().all(|&(weight, limit)| weight == 0 || limit == 0);
+                    prop_assert_eq!(cause == RefuseCause::NoPlaceEnabled, none_enabled);
                 }
             }
         }
@@ -186,7 +186,7 @@
                 refused += 1;
                 continue;
             };
-            // One root takes it all and reports after each query, as forwarded answers do.
+            // The place reports after each query, as forwarded answers do.
             let count = admitted.entry(chosen.clone()).or_default();
             *count += 1;
             let limit = table.row(&service(), &chosen, hour).expect("row").limit;
@@ -228,11 +228,11 @@
         retry_after: Duration::from_millis(700),
     };
     assert_eq!(choose(7, "phuket", &table, &places), full);
-    let asleep = choose(3, "phuket", &table, &places);
+    let outside_hours = choose(3, "phuket", &table, &places);
     assert!(matches!(
-        asleep,
+        outside_hours,
         PlaceChoice::Refuse {
-            cause: RefuseCause::NoPlaceTakesPart,
+            cause: RefuseCause::NoPlaceEnabled,
             ..
         }
     ));
--- a/crates/tansylead-cluster/tests/place_overload.rs
+++ b/crates/tansylead-cluster/tests/place_overload.rs
@@ -1,4 +1,4 @@
-//! Goodput of one place at twice its limit: frontends that learn only from late reports and
+//! Goodput of one place at twice its limit: frontends that learn only from delayed reports and
 //! refusals must not leave the roots idle.
 
 use rand::rngs::StdRng;
@@ -13,12 +13,12 @@
 const FRONTENDS: usize = 3;
 const LIMIT: u32 = 400;
 const SECONDS: u64 = 20;
-/// One way between regions.
+/// One-way delay between regions.
 const ONE_WAY_MILLIS: u64 = 12;
 const BURST_SECONDS: f64 = 0.1;
 const METER_MILLIS: u64 = 1_000;
 
-/// Admission of one root: a token bucket and the rate it reports.
+/// Admission control of one root: a token bucket and the rate it reports.
 struct Root {
     rate: f64,
     tokens: f64,
@@ -57,8 +57,8 @@
     report: RootReport,
 }
 
-/// Queries admitted per second, as a share of the limit, and forwarded per query admitted.
-fn overload(arrivals_per_second: u32) -> (f64, f64) {
+/// Returns queries admitted as a share of the limit, and queries forwarded per query admitted.
+fn simulate_overload(arrivals_per_second: u32) -> (f64, f64) {
     let service = ServiceName::new("screening-1").expect("name");
     let place = PlaceName::new("bangkok").expect("name");
     let own_place = PlaceName::new("phuket").expect("name");
@@ -111,8 +111,8 @@
                 .push(answer);
         }
         for (frontend, places) in known.iter().enumerate() {
-            let arrives = f64::from(arrivals_per_second) / 1_000.0 / FRONTENDS as f64;
-            if random.random::<f64>() >= arrives {
+            let arrival_probability = f64::from(arrivals_per_second) / 1_000.0 / FRONTENDS as f64;
+            if random.random::<f64>() >= arrival_probability {
                 continue;
             }
             let choice = choose_place(now, &service, 0, &own_place, &table, places, &mut random);
@@ -136,7 +136,7 @@
 
 #[test]
 fn at_twice_the_limit_the_place_takes_nearly_all_of_it() {
-    let (goodput, forwarded) = overload(2 * LIMIT);
+    let (goodput, forwarded) = simulate_overload(2 * LIMIT);
     println!("goodput {goodput:.3} of the limit, {forwarded:.2} forwarded per admitted query");
     assert!((0.95..=1.01).contains(&goodput), "{goodput:.3}");
     assert!(forwarded < 2.0, "{forwarded:.2}");
--- a/crates/tansylead-cluster/tests/serving_set.rs
+++ b/crates/tansylead-cluster/tests/serving_set.rs
@@ -1,4 +1,4 @@
-//! Serving sets: connection cap, zones, determinism, and how little moves when a member leaves.
+//! Serving sets: connection limits, zones, determinism, and few slots moved when a member leaves.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -115,16 +115,17 @@
     }
 }
 
-/// Share of (service, slot) assignments that differ, in parts of 1/N.
+/// Share of (service, slot) assignments that move when one of N members leaves, as a multiple of
+/// 1/N.
 fn share_moved(select: impl Fn(usize, &[Candidate]) -> Vec<NodeId>, size: u16, zones: u8) -> f64 {
     const SERVICES: usize = 60;
     let members: Vec<Candidate> = (0..size)
         .map(|number| member(number + 1, OWN_PLACE, (number % u16::from(zones)) as u8))
         .collect();
     let (mut moved, mut total) = (0, 0);
-    for leaver in 0..members.len() {
+    for removed in 0..members.len() {
         let mut remaining = members.clone();
-        remaining.remove(leaver);
+        remaining.remove(removed);
         for service in 0..SERVICES {
             let before = select(service, &members);
             let after = select(service, &remaining);
@@ -145,7 +146,7 @@
         };
         let moved = share_moved(select, size, zones);
         println!("members {size}, zones {zones}, limit {limit}: moved {moved:.2} / N");
-        // One in N must move; slots that share a zone move a few besides.
+        // One in N must move, plus a few slots in the same zone.
         assert!((0.9..1.3).contains(&moved), "{moved:.2} / N");
     }
 }
@@ -159,7 +160,7 @@
     assert!(share_moved(by_remainder, 40, 3) > 10.0);
 }
 
-/// Members of three zones: 12 each, and in the last one `in_last`.
+/// Members of three zones: 12 in each of the first two and `in_last` in the last.
 fn three_zones(in_last: u16) -> Vec<Candidate> {
     let full = (0..24).map(|number| member(number + 1, OWN_PLACE, (number % 2) as u8));
     let last = (0..in_last).map(|number| member(number + 101, OWN_PLACE, 2));
@@ -182,9 +183,9 @@
     let mut moved_elsewhere = 0;
     for service in 0..100 {
         let before = set_of(service, &placement, 100, &members).roots;
-        let without_one = members.iter().map(|leaver| {
-            let remaining = members.iter().filter(|member| *member != leaver);
-            (&leaver.zone, remaining.cloned().collect::<Vec<_>>())
+        let without_one = members.iter().map(|removed| {
+            let remaining = members.iter().filter(|member| *member != removed);
+            (&removed.zone, remaining.cloned().collect::<Vec<_>>())
         });
         let last_zone = &members[members.len() - 1].zone;
         let without_zone = members
--- a/crates/tansylead-lab/src/simulation/daemon/root.rs
+++ b/crates/tansylead-lab/src/simulation/daemon/root.rs
@@ -441,7 +441,7 @@
         if result.is_err()
             && let Some(root) = self.roots.get_mut(placement)
         {
-            root.notices.on_failed(notice);
+            root.notices.on_delivery_failed(notice);
         }
     }
 
