--- a/crates/tansylead-cluster/src/membership/event.rs
+++ b/crates/tansylead-cluster/src/membership/event.rs
@@ -16,11 +16,11 @@
         /// Contents.
         packet: Box<GossipPacket>,
     },
-    /// The time given by `next_wakeup` has come.
+    /// The time returned by `next_wakeup` has been reached.
     Wakeup,
-    /// This daemon begins a planned stop: peers give it no new work.
+    /// This daemon begins a planned stop: peers must give it no new work.
     Leave,
-    /// This daemon is about to exit: the last word to its peers.
+    /// This daemon is about to exit and tells its peers that it has left.
     Exit,
     /// The platform's machine list was read.
     MachineList(MachineList),
@@ -31,12 +31,12 @@
         /// Peers.
         to: Vec<NodeId>,
     },
-    /// Send a `RevisionQuery` to a peer (from `InForceAction::Query`). This daemon answers itself
-    /// at once.
+    /// Send a `RevisionQuery` to a peer (from `InForceAction::Query`). A query to this daemon itself
+    /// is answered at once.
     QueryRevision {
         /// Peer.
         to: NodeId,
-        /// Number the reply must carry.
+        /// Sequence number that the reply must carry.
         sequence: Sequence,
     },
 }
@@ -46,14 +46,14 @@
 pub enum MembershipAction {
     /// Send a packet.
     Send {
-        /// To whom.
+        /// Receiver.
         to: NodeId,
         /// Contents.
         packet: Box<GossipPacket>,
     },
-    /// The statement that now holds about a member; also for a member heard of for the first time.
+    /// The new record of a member; also sent when the member becomes known.
     Changed(MemberRecord),
-    /// A member was dropped from the table after its retention passed.
+    /// A member was removed from the table after its retention.
     Forgotten(InstanceId),
     /// A peer holds another configuration than this daemon.
     PeerConfig {
@@ -62,16 +62,16 @@
         /// What it holds.
         digest: ConfigDigest,
     },
-    /// A reply to a revision query arrived; for the `InForceCheck` that asked.
+    /// A reply to a revision query arrived, for the `InForceCheck` that sent the query.
     RevisionReply {
-        /// Number of the query.
+        /// Sequence number of the query.
         sequence: Sequence,
-        /// Who replied.
+        /// Sender of the reply.
         peer: InstanceId,
         /// What it holds.
         digest: ConfigDigest,
     },
-    /// The table holds every place some peer knew of: joining is complete.
+    /// Joining is complete: the table was filled from peers, or there is nobody to join.
     Joined,
     /// All members of a place stopped answering this daemon, or answer again.
     PlaceReachability {
--- a/crates/tansylead-cluster/src/membership/joining.rs
+++ b/crates/tansylead-cluster/src/membership/joining.rs
@@ -1,4 +1,4 @@
-//! Joining, and comparison of member tables with peers.
+//! Joining the cluster, and comparison of member tables with peers.
 
 use super::event::MembershipAction;
 use super::machine::{Membership, Timer};
@@ -7,40 +7,41 @@
 use super::pages::{build_page, page_records};
 use super::probes::{Probe, ProbeKind};
 use super::sizes::{name_bytes, packet_budget};
-use super::sync::{SyncStep, Walk};
-use super::table::Comparison;
+use super::sync::{PageProgress, SyncStep};
+use super::table::RecordAge;
 use crate::codec::MAXIMUM_PACKET_BYTES;
 use rand::RngExt;
 use std::time::Duration;
 use tansylead_types::{InstanceId, Moment, NodeId, PlaceName};
 
-/// Walks with peers that have not joined themselves after which this daemon counts as joined.
-const WALKS_WITH_UNJOINED: u32 = 3;
+/// This daemon counts as joined after this many comparisons with peers that have not joined
+/// themselves.
+const UNJOINED_COMPARISONS_TO_JOIN: u32 = 3;
 
-/// Requests for one page before the walk is given up.
+/// Requests for one page before the comparison is given up.
 const PAGE_ATTEMPTS: u32 = 6;
 
-/// Join attempts after which the period is at its longest.
+/// Join attempts after which the backoff stops growing.
 const JOIN_BACKOFF_STEPS: u32 = 4;
 
-/// Period of reminders to seeds that are not members, as a multiple of the join period.
+/// Period of contacts with seeds that are not members, as a multiple of the join period.
 const REMINDER_FACTOR: u32 = 10;
 
-/// First attempts to join that ask only seeds.
+/// Number of first join attempts that ask only seeds.
 const SEED_ONLY_ATTEMPTS: u32 = 2;
 
 /// Share of later attempts that still ask seeds.
 const SEED_SHARE: f64 = 0.25;
 
-/// Packets in a row that show the same table, after which queued statements are known widely
-/// enough.
-const AGREEING_PACKETS: u32 = 8;
+/// Number of consecutive packets from peers with the same table after which queued updates are
+/// taken to be known.
+const MATCHING_PACKETS_LIMIT: u32 = 8;
 
-/// Usual size of a summary packet.
+/// Typical size of a summary packet.
 const SUMMARY_BYTES: usize = 250;
 
-/// Machines of the list pinged per attempt to join.
-const HINTS_PER_ATTEMPT: usize = 8;
+/// Machines of the machine list pinged per join attempt.
+const PINGS_PER_ATTEMPT: usize = 8;
 
 impl Membership {
     pub(super) fn run_sync(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
@@ -58,7 +59,7 @@
                     self.begin_sync(now, actions)
                 }
             }
-            SyncStep::Pages(walk) => self.continue_walk(now, walk, actions),
+            SyncStep::Pages(progress) => self.request_next_page(now, progress, actions),
         };
         self.schedule_sync(now + delay);
     }
@@ -68,25 +69,25 @@
         self.timers.schedule(due, Timer::Sync);
     }
 
-    /// Asks for a summary if there is a reason to; returns the time to the next step.
+    /// Requests a summary if one is needed; returns the time to the next step.
     fn begin_sync(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) -> Duration {
-        let alone = self.table.running().len() <= 1;
-        if self.sync.joined && !alone {
-            let seed = self.missing_seed();
-            self.ask_summary(now, seed, actions);
+        let is_alone = self.table.running().len() <= 1;
+        if self.sync.joined && !is_alone {
+            let seed = self.choose_missing_seed();
+            self.request_summary(now, seed, actions);
             return self.jittered(self.settings.join_period * REMINDER_FACTOR);
         }
-        if alone {
-            self.ping_hints(now, actions);
+        if is_alone {
+            self.ping_listed_nodes(now, actions);
         }
-        let peer = self.join_candidate();
-        self.ask_summary(now, peer, actions);
+        let peer = self.choose_join_peer();
+        self.request_summary(now, peer, actions);
         let step = self.sync.join_attempts.min(JOIN_BACKOFF_STEPS);
         self.sync.join_attempts += 1;
         self.jittered(self.settings.join_period * 2_u32.pow(step))
     }
 
-    fn ask_summary(
+    fn request_summary(
         &mut self,
         now: Moment,
         peer: Option<NodeId>,
@@ -99,7 +100,7 @@
         self.send(now, peer, GossipMessage::SummaryRequest, actions);
     }
 
-    fn missing_seed(&mut self) -> Option<NodeId> {
+    fn choose_missing_seed(&mut self) -> Option<NodeId> {
         let running = self.table.running();
         let missing: Vec<NodeId> = self
             .seeds
@@ -110,8 +111,8 @@
         self.choose(&missing)
     }
 
-    /// A seed at first; later a seed or a member already heard of.
-    fn join_candidate(&mut self) -> Option<NodeId> {
+    /// A seed at first, later a seed or a known member.
+    fn choose_join_peer(&mut self) -> Option<NodeId> {
         let seeds_only = self.sync.join_attempts < SEED_ONLY_ATTEMPTS;
         let prefer_seed = seeds_only || self.random.random_bool(SEED_SHARE);
         if prefer_seed && !self.seeds.is_empty() {
@@ -125,11 +126,11 @@
         member.or_else(|| self.choose(&seeds))
     }
 
-    /// Pings machines of the list while nobody else is known. Most of them may not be daemons;
-    /// one that answers becomes a member and can be joined through.
-    fn ping_hints(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
-        for _ in 0..HINTS_PER_ATTEMPT.min(self.hints.len()) {
-            let node = self.hints[self.random.random_range(0..self.hints.len())];
+    /// Pings machines of the machine list while no other member is known. Most of them may not be
+    /// daemons; one that answers becomes a member that this daemon can join through.
+    fn ping_listed_nodes(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
+        for _ in 0..PINGS_PER_ATTEMPT.min(self.listed_nodes.len()) {
+            let node = self.listed_nodes[self.random.random_range(0..self.listed_nodes.len())];
             let probe = Probe {
                 target: InstanceId { node, boot: 0 },
                 kind: ProbeKind::Failed,
@@ -145,8 +146,9 @@
         Some(nodes[self.random.random_range(0..nodes.len())])
     }
 
-    /// Notices that the tables of a place's members have differed for long, and then compares.
-    pub(super) fn compare_tables(
+    /// Starts a comparison once the hashes sent by a place's members have differed from this
+    /// daemon's for longer than the tolerance.
+    pub(super) fn check_table_hash(
         &mut self,
         now: Moment,
         sender: &MemberRecord,
@@ -156,21 +158,21 @@
         let mismatches = &mut self.sync.mismatch_since;
         if hash == self.table.hash() {
             mismatches.remove(&sender.place);
-            self.stop_gossip_once_known();
+            self.stop_gossip_if_known();
             return;
         }
-        self.agreeing_packets = 0;
+        self.matching_packets = 0;
         let since = *mismatches.entry(sender.place.clone()).or_insert(now);
         let idle = self.is_idle(now);
         if idle && self.sync.joined && now.since(since) > self.settings.mismatch_tolerance {
             self.sync.mismatch_since.insert(sender.place.clone(), now);
-            self.ask_summary(now, Some(sender.node()), actions);
+            self.request_summary(now, Some(sender.node()), actions);
             self.schedule_sync(now + self.settings.join_period);
         }
     }
 
-    /// Whether a comparison may begin. A summary that is overdue does not count as under way: a
-    /// seed that is gone for good is asked again and again.
+    /// Whether a comparison may start. An overdue summary request does not count as in progress:
+    /// otherwise repeated requests to a permanently lost seed would block comparisons.
     fn is_idle(&self, now: Moment) -> bool {
         match &self.sync.step {
             SyncStep::Idle => true,
@@ -179,10 +181,10 @@
         }
     }
 
-    /// Peers with the same table know every queued statement.
-    fn stop_gossip_once_known(&mut self) {
-        self.agreeing_packets = self.agreeing_packets.saturating_add(1);
-        if self.agreeing_packets >= AGREEING_PACKETS {
+    /// Peers with the same table know every queued update.
+    fn stop_gossip_if_known(&mut self) {
+        self.matching_packets = self.matching_packets.saturating_add(1);
+        if self.matching_packets >= MATCHING_PACKETS_LIMIT {
             self.updates.clear();
         }
     }
@@ -199,15 +201,15 @@
             SyncStep::Summary { peer: asked, .. } if asked == peer => {}
             _ => return,
         }
-        self.counters.walks_started += 1;
+        self.counters.comparisons_started += 1;
         let differs =
             |summary: &PlaceSummary| self.table.place_hash(&summary.place) != summary.hash;
-        let walk = Walk::new(peer, peer_joined, places, &self.local.place, differs);
-        let delay = self.continue_walk(now, walk, actions);
+        let progress = PageProgress::new(peer, peer_joined, places, &self.local.place, differs);
+        let delay = self.request_next_page(now, progress, actions);
         self.schedule_sync(now + delay);
     }
 
-    /// Takes a page in. Statements of the peer that are out of date are answered by gossip.
+    /// Applies a page. Records in which the peer is out of date are queued for gossip.
     pub(super) fn receive_page(
         &mut self,
         now: Moment,
@@ -216,35 +218,35 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         for record in page_records(page) {
-            if self.adopt(now, &record, actions) == Comparison::Older {
-                self.pass_on(now, record.node());
+            if self.apply_record(now, &record, actions) == RecordAge::Older {
+                self.queue_update(now, record.node());
             }
         }
-        if let SyncStep::Pages(walk) = &mut self.sync.step
-            && walk.peer == peer
+        if let SyncStep::Pages(progress) = &mut self.sync.step
+            && progress.peer == peer
         {
-            walk.advance(&page.place, page.next);
+            progress.advance(&page.place, page.next);
         }
     }
 
-    /// Asks for the next page, or ends the walk; returns the time to the next step.
-    fn continue_walk(
+    /// Requests the next page or completes the comparison; returns the time to the next step.
+    fn request_next_page(
         &mut self,
         now: Moment,
-        mut walk: Walk,
+        mut progress: PageProgress,
         actions: &mut Vec<MembershipAction>,
     ) -> Duration {
-        let Some(place) = walk.places.front().cloned() else {
-            return self.complete_walk(now, &walk, actions);
+        let Some(place) = progress.places.front().cloned() else {
+            return self.complete_comparison(now, &progress, actions);
         };
-        if walk.attempts >= PAGE_ATTEMPTS {
+        if progress.attempts >= PAGE_ATTEMPTS {
             return self.jittered(self.settings.join_period);
         }
-        walk.attempts += 1;
-        walk.waiting = true;
-        let peer = walk.peer;
-        let after = walk.after;
-        self.sync.step = SyncStep::Pages(walk);
+        progress.attempts += 1;
+        progress.awaiting_page = true;
+        let peer = progress.peer;
+        let after = progress.after;
+        self.sync.step = SyncStep::Pages(progress);
         self.send(
             now,
             peer,
@@ -254,20 +256,21 @@
         self.settings.page_interval
     }
 
-    fn complete_walk(
+    fn complete_comparison(
         &mut self,
         now: Moment,
-        walk: &Walk,
+        progress: &PageProgress,
         actions: &mut Vec<MembershipAction>,
     ) -> Duration {
         self.sync.step = SyncStep::Idle;
-        if !walk.peer_joined {
-            self.sync.walks_with_unjoined += 1;
+        if !progress.peer_joined {
+            self.sync.unjoined_comparisons += 1;
         }
-        let enough = walk.peer_joined || self.sync.walks_with_unjoined >= WALKS_WITH_UNJOINED;
+        let enough =
+            progress.peer_joined || self.sync.unjoined_comparisons >= UNJOINED_COMPARISONS_TO_JOIN;
         if enough && !self.sync.joined {
             self.sync.joined = true;
-            self.pass_on(now, self.local.node());
+            self.queue_update(now, self.local.node());
             actions.push(MembershipAction::Joined);
         }
         if self.sync.joined {
@@ -291,12 +294,12 @@
         self.bulk_limit.spend(SUMMARY_BYTES);
         let message = GossipMessage::Summary {
             joined: self.sync.joined,
-            places: self.fitting_summaries(),
+            places: self.summaries_within_budget(),
         };
         self.send_with(peer, message, Vec::new(), actions);
     }
 
-    fn fitting_summaries(&self) -> Vec<PlaceSummary> {
+    fn summaries_within_budget(&self) -> Vec<PlaceSummary> {
         const HASH_BYTES: usize = 10;
         let mut budget = packet_budget(&self.local);
         let mut fitting = Vec::new();
--- a/crates/tansylead-cluster/src/membership/limits.rs
+++ b/crates/tansylead-cluster/src/membership/limits.rs
@@ -1,11 +1,11 @@
-//! Limits on what a daemon sends, so that a storm of statements or of joining daemons stays
-//! within the budget.
+//! Rate limits on what a daemon sends, so that a burst of member updates or of joining daemons stays
+//! within the bandwidth budget.
 
 use tansylead_types::Moment;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Admits so many events in each second.
+/// Admits a bounded number of events in each second.
 #[derive(Debug, Default)]
 pub(super) struct EventLimit {
     second: u64,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A token bucket of bytes that saves up at most one second.
+/// A token bucket of bytes with a capacity of one second.
 #[derive(Debug)]
 pub(super) struct ByteLimit {
     bytes_per_second: u64,
--- a/crates/tansylead-cluster/src/membership/machine.rs
+++ b/crates/tansylead-cluster/src/membership/machine.rs
@@ -1,4 +1,4 @@
-//! The membership state machine: its state, its interface, and the sending of packets.
+//! The membership state machine: state, public interface, and sending of packets.
 
 use super::event::{MembershipAction, MembershipEvent};
 use super::limits::{ByteLimit, EventLimit};
@@ -19,10 +19,10 @@
 use tansylead_types::store::{MachineList, MachineState};
 use tansylead_types::{Moment, NodeId, PlaceName};
 
-/// A wakeup later than this means that the process was suspended or starved.
+/// A wakeup delayed by more than this means that the process was suspended or starved of CPU.
 const PAUSE_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// Reasons to wake up. Each is checked for relevance when it is due.
+/// Timers. A handler checks whether its timer still applies.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Probe,
@@ -31,7 +31,7 @@
     FailedProbe,
     RemoteProbe(PlaceName),
     DirectTimeout(super::packet::Sequence),
-    ProbeEnd(super::packet::Sequence),
+    ProbeTimeout(super::packet::Sequence),
     Suspicion {
         node: NodeId,
         boot: u64,
@@ -47,9 +47,9 @@
 /// Counters for metrics; all of them only grow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct MembershipCounters {
-    /// Packets handed to the driver.
+    /// Packets passed to the driver for sending.
     pub packets_sent: u64,
-    /// Packets taken in.
+    /// Packets accepted.
     pub packets_received: u64,
     /// Packets dropped because their source address was not the sender's.
     pub sender_mismatches: u64,
@@ -57,14 +57,14 @@
     pub stale_instances: u64,
     /// Suspicions raised by this daemon.
     pub suspicions_raised: u64,
-    /// Statements about itself that this daemon refuted.
+    /// Records about itself that this daemon refuted.
     pub refutations: u64,
-    /// Suspensions of this process that were noticed.
+    /// Detected suspensions of this process.
     pub pauses: u64,
-    /// Summaries and pages refused because too many were asked for.
+    /// Requests for summaries and pages refused by the rate limits.
     pub sync_refused: u64,
-    /// Walks over a peer's table begun.
-    pub walks_started: u64,
+    /// Table comparisons with peers started.
+    pub comparisons_started: u64,
 }
 
 /// Membership as one daemon sees it.
@@ -73,8 +73,8 @@
     pub(super) settings: MembershipSettings,
     pub(super) local: MemberRecord,
     pub(super) seeds: Vec<NodeId>,
-    pub(super) hints: Vec<NodeId>,
-    leaving_hints: BTreeSet<NodeId>,
+    pub(super) listed_nodes: Vec<NodeId>,
+    leaving_nodes: BTreeSet<NodeId>,
     pub(super) table: MemberTable,
     pub(super) updates: UpdateQueue,
     pub(super) probes: ProbeTable,
@@ -85,7 +85,7 @@
     pub(super) bulk_limit: ByteLimit,
     pub(super) correction_limit: EventLimit,
     pub(super) update_limit: ByteLimit,
-    pub(super) agreeing_packets: u32,
+    pub(super) matching_packets: u32,
     pub(super) timers: TimerQueue<Timer>,
     pub(super) sync_due: Moment,
     pub(super) gossip_scheduled: bool,
@@ -96,7 +96,7 @@
 }
 
 impl Membership {
-    /// A daemon that knows of nobody but its seeds. `seed` seeds its random choices.
+    /// A daemon that knows nobody but its seeds. `seed` initializes the random generator.
     pub fn new(
         now: Moment,
         local: LocalMember,
@@ -115,8 +115,8 @@
         let mut membership = Self {
             local,
             seeds,
-            hints: Vec::new(),
-            leaving_hints: BTreeSet::new(),
+            listed_nodes: Vec::new(),
+            leaving_nodes: BTreeSet::new(),
             table,
             updates: UpdateQueue::default(),
             probes: ProbeTable::default(),
@@ -128,7 +128,7 @@
             correction_limit: EventLimit::default(),
             update_limit: ByteLimit::new(now, settings.update_bytes_per_second),
             timers: TimerQueue::new(),
-            agreeing_packets: 0,
+            matching_packets: 0,
             sync_due: now,
             gossip_scheduled: false,
             config: ConfigDigest::default(),
@@ -144,7 +144,7 @@
     /// Handles one event.
     pub fn on_event(&mut self, now: Moment, event: MembershipEvent) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        self.notice_pause(now);
+        self.compensate_for_pause(now);
         match event {
             MembershipEvent::Packet { from, packet } => {
                 self.receive(now, from, *packet, &mut actions);
@@ -152,7 +152,7 @@
             MembershipEvent::Wakeup => {}
             MembershipEvent::Leave => self.leave(now, MemberState::Leaving, &mut actions),
             MembershipEvent::Exit => self.leave(now, MemberState::Left, &mut actions),
-            MembershipEvent::MachineList(list) => self.take_hints(list, &mut actions),
+            MembershipEvent::MachineList(list) => self.apply_machine_list(list, &mut actions),
             MembershipEvent::Config(digest) => self.config = digest,
             MembershipEvent::Announce { to } => {
                 for peer in to {
@@ -179,17 +179,17 @@
         actions
     }
 
-    /// When `Wakeup` is due.
+    /// Time at which `Wakeup` is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         self.timers.next()
     }
 
-    /// All remembered members, this daemon included, ordered by address.
+    /// All members in the table, this daemon included, ordered by address.
     pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.table.records()
     }
 
-    /// Members that may be given new work: alive or suspect, in a place that answers.
+    /// Members that may be given new work: alive or suspect, in a reachable place.
     pub fn live_members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members()
             .filter(|member| member.state.takes_work() && self.is_reachable(&member.place))
@@ -200,27 +200,27 @@
         self.table.running().len()
     }
 
-    /// The statement held about a node.
+    /// The record of a node.
     pub fn member(&self, node: NodeId) -> Option<&MemberRecord> {
         self.table.get(node)
     }
 
-    /// This daemon's statement about itself.
+    /// This daemon's own record.
     pub fn local(&self) -> &MemberRecord {
         &self.local
     }
 
-    /// Whether a place answers this daemon; its own always does.
+    /// Whether this daemon reaches a place; its own always counts as reachable.
     pub fn is_reachable(&self, place: &PlaceName) -> bool {
         self.places.is_reachable(place)
     }
 
     /// Whether the machine list says that the machine at this address is about to leave.
-    pub fn has_leaving_hint(&self, node: NodeId) -> bool {
-        self.leaving_hints.contains(&node)
+    pub fn is_listed_as_leaving(&self, node: NodeId) -> bool {
+        self.leaving_nodes.contains(&node)
     }
 
-    /// Whether the table was completed from a peer, or there is nobody to join.
+    /// Whether the table was filled from peers, or there is nobody to join.
     pub fn is_joined(&self) -> bool {
         self.sync.joined
     }
@@ -230,8 +230,8 @@
         self.counters
     }
 
-    /// Sends a message, with a statement about the receiver if it must refute that, and with
-    /// queued statements.
+    /// Sends a message, with the receiver's record if the receiver should refute it, and with queued
+    /// updates.
     pub(super) fn send(
         &mut self,
         now: Moment,
@@ -241,7 +241,7 @@
     ) {
         let mut budget = packet_budget(&self.local);
         let mut updates = Vec::new();
-        if let Some(record) = self.statement_to_refute(to) {
+        if let Some(record) = self.refutable_record(to) {
             budget = budget.saturating_sub(record_bytes(record));
             updates.push(record.clone());
         }
@@ -256,7 +256,7 @@
         self.send_with(to, message, updates, actions);
     }
 
-    /// Sends a message with exactly these statements.
+    /// Sends a message with exactly these records.
     pub(super) fn send_with(
         &mut self,
         to: NodeId,
@@ -275,27 +275,27 @@
         actions.push(MembershipAction::Send { to, packet });
     }
 
-    fn take_hints(&mut self, list: MachineList, actions: &mut Vec<MembershipAction>) {
-        self.leaving_hints.clear();
-        self.hints.clear();
+    fn apply_machine_list(&mut self, list: MachineList, actions: &mut Vec<MembershipAction>) {
+        self.leaving_nodes.clear();
+        self.listed_nodes.clear();
         for machine in list.machines {
             let node = NodeId(machine.address);
             match machine.state {
                 MachineState::Leaving => {
-                    self.leaving_hints.insert(node);
+                    self.leaving_nodes.insert(node);
                 }
-                MachineState::Live if node != self.local.node() => self.hints.push(node),
+                MachineState::Live if node != self.local.node() => self.listed_nodes.push(node),
                 MachineState::Live => {}
             }
         }
-        let nobody_to_join = self.seeds.is_empty() && self.hints.is_empty();
-        if nobody_to_join && !self.sync.joined {
+        let has_nobody_to_join = self.seeds.is_empty() && self.listed_nodes.is_empty();
+        if has_nobody_to_join && !self.sync.joined {
             self.sync.joined = true;
             actions.push(MembershipAction::Joined);
         }
     }
 
-    fn notice_pause(&mut self, now: Moment) {
+    fn compensate_for_pause(&mut self, now: Moment) {
         let Some(due) = self.timers.next() else {
             return;
         };
--- a/crates/tansylead-cluster/src/membership/member.rs
+++ b/crates/tansylead-cluster/src/membership/member.rs
@@ -1,22 +1,22 @@
-//! What daemons tell one another about a daemon, and which of two statements is newer.
+//! The records that daemons exchange about each other, and which of two records is newer.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use tansylead_types::{InstanceId, NodeId, PlaceName, ZoneName};
 
-/// State of a member. The order is the order of precedence between statements that carry the
+/// State of a member. The order of the variants is the order of precedence between records with the
 /// same instance and incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// In service.
     Alive,
-    /// Did not answer probes; still treated as live until the suspicion times out.
+    /// Did not answer probes; treated as live until the suspicion times out.
     Suspect,
-    /// Said itself that it is stopping; gets no new work.
+    /// Announced that it is stopping; gets no new work.
     Leaving,
     /// Declared failed: a suspicion timed out.
     Failed,
-    /// Said itself that it has stopped.
+    /// Announced that it has stopped.
     Left,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// What the machine of a daemon bears, in thousandths of a processor core.
+/// Capacity of a daemon's machine, in thousandths of a processor core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Capacity(pub u16);
 
@@ -41,12 +41,12 @@
     pub const CORE: Self = Self(1_000);
 }
 
-/// One statement about one daemon.
+/// What is known about one daemon, at one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The run of the daemon.
     pub instance: InstanceId,
-    /// Raised only by the daemon itself, to refute a statement about it or to change its state.
+    /// Increased only by the daemon itself, to refute a record about it or to change its state.
     pub incarnation: u64,
     /// Place it runs in.
     pub place: PlaceName,
@@ -54,13 +54,13 @@
     pub zone: ZoneName,
     /// HTTP address for callers.
     pub caller_address: SocketAddr,
-    /// What its machine bears.
+    /// Capacity of its machine.
     pub capacity: Capacity,
     /// State.
     pub state: MemberState,
 }
 
-/// Precedence of a statement among those about the same node; the greater one holds.
+/// Precedence of a record among those of the same node; the greater one wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     boot: u64,
@@ -74,7 +74,7 @@
         self.instance.node
     }
 
-    /// Precedence among statements about the same node.
+    /// Precedence among records of the same node.
     pub fn precedence(&self) -> Precedence {
         Precedence {
             boot: self.instance.boot,
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a daemon knows of itself before it joins.
+/// What a daemon knows about itself before it joins.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalMember {
     /// This run of this daemon.
@@ -95,12 +95,12 @@
     pub zone: ZoneName,
     /// HTTP address for callers.
     pub caller_address: SocketAddr,
-    /// What its machine bears.
+    /// Capacity of its machine.
     pub capacity: Capacity,
 }
 
 impl LocalMember {
-    /// The daemon's first statement about itself.
+    /// The daemon's first record of itself.
     pub fn record(self) -> MemberRecord {
         MemberRecord {
             instance: self.instance,
--- a/crates/tansylead-cluster/src/membership/mod.rs
+++ b/crates/tansylead-cluster/src/membership/mod.rs
@@ -1,12 +1,12 @@
 //! Membership: which daemons run, in which place and zone, and which of them are leaving.
 //!
-//! SWIM over UDP within a place; other places are judged reachable or not as a whole. See
+//! SWIM over UDP within a place; each other place is reachable or not as a whole. See
 //! `docs/design/0003-membership.md`.
 //!
-//! A driver decodes datagrams with [`crate::codec::GossipCodec`], hands them to
+//! A driver decodes datagrams with [`crate::codec::GossipCodec`], passes them to
 //! [`Membership::on_event`], performs the actions in order, and sends `Wakeup` at
-//! [`Membership::next_wakeup`]. `Changed`, `Forgotten`, `PeerConfig` and `Joined` are passed on to
-//! [`crate::spread::SpreadMachine`]; its `Applied` comes back as `Config` and its `Announce` as
+//! [`Membership::next_wakeup`]. It forwards `Changed`, `Forgotten`, `PeerConfig` and `Joined` to
+//! [`crate::spread::SpreadMachine`], whose `Applied` and `Announce` come back as `Config` and
 //! `Announce`.
 
 mod event;
@@ -20,9 +20,9 @@
 mod probes;
 mod probing;
 mod receive;
+mod records;
 mod settings;
 mod sizes;
-mod statements;
 mod sync;
 mod table;
 mod timers;
--- a/crates/tansylead-cluster/src/membership/packet.rs
+++ b/crates/tansylead-cluster/src/membership/packet.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use tansylead_types::{InstanceId, NodeId, PlaceName, ZoneName};
 
-/// Summary of the configuration a daemon holds. Travels on every packet.
+/// Summary of the configuration that a daemon holds; part of every packet.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -16,7 +16,7 @@
     pub hash: u64,
 }
 
-/// Matches an acknowledgement or reply to its request, within the daemon that asked.
+/// Matches an acknowledgement or reply to its request; unique within the requesting daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Sequence(pub u32);
 
@@ -25,7 +25,7 @@
 pub struct PlaceSummary {
     /// Place.
     pub place: PlaceName,
-    /// Order-independent hash of the statements about its running members.
+    /// Order-independent hash of the records of its running members.
     pub hash: u64,
 }
 
@@ -36,17 +36,17 @@
     pub instance: InstanceId,
     /// As in [`MemberRecord`].
     pub incarnation: u64,
-    /// Position of its zone in the page.
+    /// Index of its zone in the page's `zones`.
     pub zone: u8,
     /// HTTP address for callers.
     pub caller_address: SocketAddr,
-    /// What its machine bears.
+    /// Capacity of its machine.
     pub capacity: Capacity,
     /// State.
     pub state: MemberState,
 }
 
-/// Members of one place in order of address.
+/// Members of one place, ordered by address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberPage {
     /// Place.
@@ -55,22 +55,22 @@
     pub zones: Vec<ZoneName>,
     /// Members.
     pub members: Vec<PageMember>,
-    /// Where to go on; none if this is the last page.
+    /// `after` of the next page's request; `None` on the last page.
     pub next: Option<NodeId>,
 }
 
 /// Purpose of a packet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipMessage {
-    /// Are you running? Answered by `Ack`.
+    /// Probes the receiver. Answered by `Ack`.
     Ping(Sequence),
     /// Answer to `Ping`, or relayed by the receiver of a `PingRequest`.
     Ack(Sequence),
     /// Asks the receiver to ping `target` and to relay its acknowledgement.
     PingRequest {
-        /// Number the relayed `Ack` must carry.
+        /// Sequence number that the relayed `Ack` must carry.
         sequence: Sequence,
-        /// Whom to ping.
+        /// Node to ping.
         target: NodeId,
     },
     /// Asks for a summary of the receiver's member table; also how a daemon joins.
@@ -91,11 +91,12 @@
     },
     /// Answer to `PageRequest`.
     Page(MemberPage),
-    /// Only carries statements. Not answered.
+    /// Only carries updates. Not answered.
     Gossip,
     /// The sender has just applied the configuration in its digest. Not answered.
     Announce,
-    /// Which configuration do you hold? Answered by `RevisionReply`, whose digest tells.
+    /// Asks which configuration the receiver holds. Answered by `RevisionReply`, in whose digest it
+    /// stands.
     RevisionQuery(Sequence),
     /// Answer to `RevisionQuery`.
     RevisionReply(Sequence),
@@ -104,14 +105,14 @@
 /// One packet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipPacket {
-    /// The sender's statement about itself.
+    /// The sender's own record.
     pub sender: MemberRecord,
-    /// Configuration the sender holds.
+    /// Configuration that the sender holds.
     pub config: ConfigDigest,
     /// Order-independent hash of the sender's table of running members.
     pub members_hash: u64,
     /// Purpose.
     pub message: GossipMessage,
-    /// Statements about other members.
+    /// Records of other members.
     pub updates: Vec<MemberRecord>,
 }
--- a/crates/tansylead-cluster/src/membership/pages.rs
+++ b/crates/tansylead-cluster/src/membership/pages.rs
@@ -1,4 +1,4 @@
-//! Pages: the members of one place in order of address, in a form that repeats no names.
+//! Pages: the members of one place ordered by address, encoded without repeating names.
 
 use super::member::MemberRecord;
 use super::packet::{MemberPage, PageMember};
@@ -49,7 +49,7 @@
     page
 }
 
-/// The statements of a page. Members whose zone is not in the page are left out.
+/// The records of a page. Members whose zone is not in the page are left out.
 pub(super) fn page_records(page: &MemberPage) -> impl Iterator<Item = MemberRecord> {
     page.members.iter().filter_map(|member| {
         let zone = page.zones.get(usize::from(member.zone))?;
@@ -65,7 +65,7 @@
     })
 }
 
-/// Position of a zone, or the position it would get.
+/// Index of a zone, or the index that it would get.
 fn zone_index(zones: &[ZoneName], zone: &ZoneName) -> usize {
     zones
         .iter()
--- a/crates/tansylead-cluster/src/membership/places.rs
+++ b/crates/tansylead-cluster/src/membership/places.rs
@@ -1,8 +1,8 @@
-//! Whether each other place answers this daemon.
+//! Reachability of the other places.
 //!
-//! Members of another place are declared failed only by members of that place. Seen from here a
-//! place is reachable or not as a whole, so a cut between regions changes no member's state and
-//! causes no storm of statements when it heals.
+//! Members are declared failed only by members of their own place. To this daemon another place is
+//! reachable or not as a whole, so a network partition between regions changes no member's state
+//! and causes no burst of updates when it heals.
 
 use super::settings::MembershipSettings;
 use std::collections::BTreeMap;
@@ -19,14 +19,14 @@
     next_probe: Option<Moment>,
 }
 
-/// All other places that have or had members.
+/// All other places that have, or had, members.
 #[derive(Debug, Default)]
 pub(super) struct RemotePlaces {
     places: BTreeMap<PlaceName, RemotePlace>,
 }
 
 impl RemotePlaces {
-    /// Begins to watch a place; false if it is watched already.
+    /// Starts to monitor a place; false if it is monitored already.
     pub(super) fn add(&mut self, now: Moment, place: &PlaceName) -> bool {
         if self.places.contains_key(place) {
             return false;
@@ -46,24 +46,24 @@
         self.places.remove(place);
     }
 
-    /// Plans a probe; false if one is planned for an earlier time.
-    pub(super) fn bring_forward(&mut self, place: &PlaceName, due: Moment) -> bool {
+    /// Schedules a probe; false if one is already scheduled for no later than `due`.
+    pub(super) fn schedule_probe(&mut self, place: &PlaceName, due: Moment) -> bool {
         let Some(state) = self.places.get_mut(place) else {
             return false;
         };
-        let sooner = state.next_probe.is_none_or(|planned| due < planned);
-        if sooner {
+        let is_earlier = state.next_probe.is_none_or(|scheduled| due < scheduled);
+        if is_earlier {
             state.next_probe = Some(due);
         }
-        sooner
+        is_earlier
     }
 
-    /// Whether the planned probe is due; if so it is no longer planned.
+    /// Whether the scheduled probe is due; if so, clears it.
     pub(super) fn take_due_probe(&mut self, now: Moment, place: &PlaceName) -> bool {
         let Some(state) = self.places.get_mut(place) else {
             return false;
         };
-        let due = state.next_probe.is_some_and(|planned| planned <= now);
+        let due = state.next_probe.is_some_and(|scheduled| scheduled <= now);
         if due {
             state.next_probe = None;
         }
@@ -75,7 +75,7 @@
     }
 
     /// Records an answer; true if the place becomes reachable by it.
-    pub(super) fn answered(&mut self, now: Moment, place: &PlaceName) -> bool {
+    pub(super) fn record_answer(&mut self, now: Moment, place: &PlaceName) -> bool {
         let Some(state) = self.places.get_mut(place) else {
             return false;
         };
@@ -86,7 +86,11 @@
     }
 
     /// Records a missing answer; true if the place becomes unreachable by it.
-    pub(super) fn failed(&mut self, place: &PlaceName, settings: &MembershipSettings) -> bool {
+    pub(super) fn record_failure(
+        &mut self,
+        place: &PlaceName,
+        settings: &MembershipSettings,
+    ) -> bool {
         let Some(state) = self.places.get_mut(place) else {
             return false;
         };
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Whether a place has been silent so long that its members are to be forgotten.
+    /// Whether a place has been unreachable for so long that its members are to be removed.
     pub(super) fn is_expired(
         &self,
         now: Moment,
--- a/crates/tansylead-cluster/src/membership/probes.rs
+++ b/crates/tansylead-cluster/src/membership/probes.rs
@@ -1,5 +1,5 @@
-//! Probes that wait for an acknowledgement, probes relayed for others, and the order in which
-//! members of the place are probed.
+//! Open probes, including those relayed for others, and the order in which members of the place are
+//! probed.
 
 use super::packet::Sequence;
 use super::table::MemberTable;
@@ -8,32 +8,32 @@
 use std::collections::BTreeMap;
 use tansylead_types::{InstanceId, NodeId, PlaceName};
 
-/// What a missing acknowledgement means.
+/// Purpose of a probe, and what a missing acknowledgement means.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum ProbeKind {
-    /// The member is suspected.
+    /// Member of the own place: it becomes suspect.
     Local,
-    /// One failure of the place.
+    /// Member of another place: counts as one failure of that place.
     Remote(PlaceName),
-    /// Nothing: the member is known to have failed, or the machine may not be a daemon.
+    /// Failed member, or a machine that may not be a daemon: no effect.
     Failed,
-    /// Nothing: sent for another daemon, to which the acknowledgement is relayed.
+    /// Sent for another daemon, to which the acknowledgement is relayed: no effect.
     Relayed {
-        /// Who asked.
+        /// Daemon that asked for the probe.
         requester: NodeId,
-        /// Number of its request.
+        /// Sequence number of its request.
         sequence: Sequence,
     },
 }
 
-/// A probe that waits for an acknowledgement.
+/// A probe that awaits an acknowledgement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Probe {
     pub(super) target: InstanceId,
     pub(super) kind: ProbeKind,
 }
 
-/// Probes that wait for an acknowledgement.
+/// Probes that await an acknowledgement, by sequence number.
 #[derive(Debug, Default)]
 pub(super) struct ProbeTable {
     probes: BTreeMap<Sequence, Probe>,
@@ -61,8 +61,8 @@
     }
 }
 
-/// A shuffled list of the place's members, walked once before it is drawn again, so that every
-/// member is probed within two rounds.
+/// A shuffled list of the place's members, probed to the end before it is shuffled again, so that
+/// every member is probed within two rounds.
 #[derive(Debug, Default)]
 pub(super) struct ProbeOrder {
     remaining: Vec<NodeId>,
--- a/crates/tansylead-cluster/src/membership/probing.rs
+++ b/crates/tansylead-cluster/src/membership/probing.rs
@@ -1,5 +1,5 @@
-//! Timers: probes within the place, to other places and to failed members; suspicion; gossip of
-//! queued statements; retention.
+//! Timer handlers: probes within the place, to other places and to failed members; suspicion
+//! timeouts; gossip of queued updates; retention.
 
 use super::event::MembershipAction;
 use super::machine::{Membership, Timer};
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tansylead_types::{InstanceId, Moment, NodeId, PlaceName};
 
-/// Period of gossip while statements are queued.
+/// Period of gossip while updates are queued.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(200);
 
-/// Members of the own place told per gossip period.
+/// Members of the own place sent to per gossip period.
 const GOSSIP_LOCAL_FAN_OUT: usize = 2;
 
-/// Members of any place told per gossip period.
+/// Members of any place sent to per gossip period.
 const GOSSIP_ANY_FAN_OUT: usize = 1;
 
-/// Less room than this for statements is not worth a packet of its own.
-const LEAST_GOSSIP_BYTES: usize = 200;
+/// With a budget for updates below this, no gossip packet is sent.
+const MINIMUM_GOSSIP_BYTES: usize = 200;
 
 impl Membership {
     pub(super) fn schedule_first_timers(&mut self, now: Moment) {
@@ -31,7 +31,7 @@
         self.timers.schedule(now, Timer::Sync);
     }
 
-    /// A random time between half and one and a half of a period.
+    /// A random time between 0.5 and 1.5 times a period.
     pub(super) fn jittered(&mut self, period: Duration) -> Duration {
         period.mul_f64(self.random.random_range(0.5..1.5))
     }
@@ -50,12 +50,12 @@
             Timer::FailedProbe => self.probe_failed(now, actions),
             Timer::RemoteProbe(place) => self.probe_place(now, place, actions),
             Timer::DirectTimeout(sequence) => self.probe_indirectly(now, sequence, actions),
-            Timer::ProbeEnd(sequence) => self.end_probe(now, sequence, actions),
+            Timer::ProbeTimeout(sequence) => self.on_probe_timeout(now, sequence, actions),
             Timer::Suspicion {
                 node,
                 boot,
                 incarnation,
-            } => self.end_suspicion(now, node, (boot, incarnation), actions),
+            } => self.on_suspicion_timeout(now, node, (boot, incarnation), actions),
             Timer::Expiry {
                 node,
                 boot,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sends a ping and arranges for its end.
+    /// Sends a ping and schedules its timeouts.
     pub(super) fn start_probe(
         &mut self,
         now: Moment,
@@ -80,7 +80,7 @@
                 .schedule(direct_end, Timer::DirectTimeout(sequence));
         }
         let end = now + self.settings.probe_period;
-        self.timers.schedule(end, Timer::ProbeEnd(sequence));
+        self.timers.schedule(end, Timer::ProbeTimeout(sequence));
         self.send(now, target, GossipMessage::Ping(sequence), actions);
     }
 
@@ -118,16 +118,16 @@
         self.start_probe(now, Probe { target, kind }, actions);
     }
 
-    /// Begins to watch another place.
-    pub(super) fn watch_place(&mut self, now: Moment, place: &PlaceName) {
+    /// Starts to monitor another place.
+    pub(super) fn monitor_place(&mut self, now: Moment, place: &PlaceName) {
         if *place != self.local.place && self.places.add(now, place) {
             let due = now + self.jittered(self.settings.probe_period);
             self.schedule_place_probe(place, due);
         }
     }
 
-    /// A packet from a place that does not answer: probe it at once.
-    pub(super) fn hear_from_place(&mut self, now: Moment, sender: &MemberRecord) {
+    /// Schedules an early probe of an unreachable place from which a packet arrived.
+    pub(super) fn reprobe_unreachable_place(&mut self, now: Moment, sender: &MemberRecord) {
         if !self.places.is_reachable(&sender.place) {
             let due = now + self.jittered(self.settings.direct_timeout);
             self.schedule_place_probe(&sender.place, due);
@@ -135,7 +135,7 @@
     }
 
     fn schedule_place_probe(&mut self, place: &PlaceName, due: Moment) {
-        if self.places.bring_forward(place, due) {
+        if self.places.schedule_probe(place, due) {
             self.timers.schedule(due, Timer::RemoteProbe(place.clone()));
         }
     }
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Helpers for an indirect probe: of the own place, topped up from other places.
+    /// Helpers for an indirect probe, from the own place first, then from any place.
     fn helpers(&mut self, target: NodeId) -> Vec<NodeId> {
         let count = self.settings.indirect_probes;
         let mut excluded = vec![target, self.local.node()];
@@ -191,20 +191,25 @@
             members.running.sample(&mut self.random, count, &excluded)
         });
         excluded.extend(&helpers);
-        let lacking = count - helpers.len();
+        let missing = count - helpers.len();
         let running = self.table.running();
-        helpers.extend(running.sample(&mut self.random, lacking, &excluded));
+        helpers.extend(running.sample(&mut self.random, missing, &excluded));
         helpers
     }
 
-    fn end_probe(&mut self, now: Moment, sequence: Sequence, actions: &mut Vec<MembershipAction>) {
+    fn on_probe_timeout(
+        &mut self,
+        now: Moment,
+        sequence: Sequence,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let Some(probe) = self.probes.finish(sequence) else {
             return;
         };
         match probe.kind {
             ProbeKind::Local => self.suspect(now, probe.target, actions),
             ProbeKind::Remote(place) => {
-                if self.places.failed(&place, &self.settings) {
+                if self.places.record_failure(&place, &self.settings) {
                     actions.push(MembershipAction::PlaceReachability {
                         place,
                         reachable: false,
@@ -215,8 +220,8 @@
         }
     }
 
-    /// A member of the own place did not answer. One that is leaving is declared failed at once:
-    /// it takes no new work anyway, and can still refute.
+    /// Handles a member of the own place that did not answer. A leaving member is declared failed at
+    /// once: it takes no new work anyway, and can still refute.
     fn suspect(&mut self, now: Moment, target: InstanceId, actions: &mut Vec<MembershipAction>) {
         let Some(held) = self.table.get(target.node) else {
             return;
@@ -234,10 +239,10 @@
             ..held.clone()
         };
         self.counters.suspicions_raised += 1;
-        self.adopt(now, &record, actions);
+        self.apply_record(now, &record, actions);
     }
 
-    fn end_suspicion(
+    fn on_suspicion_timeout(
         &mut self,
         now: Moment,
         node: NodeId,
@@ -250,7 +255,7 @@
                 state: MemberState::Failed,
                 ..held.clone()
             };
-            self.adopt(now, &record, actions);
+            self.apply_record(now, &record, actions);
         }
     }
 
@@ -262,7 +267,8 @@
         }
     }
 
-    /// The statement held about a node, if it is still the one of this boot and incarnation.
+    /// The record of a node, if it is in one of these states and its boot and incarnation are the
+    /// given ones.
     fn held_in_state(
         &self,
         node: NodeId,
@@ -288,8 +294,8 @@
         }
         self.schedule_gossip(now);
         for peer in self.gossip_peers() {
-            let room = self.update_limit.available(now);
-            if room < LEAST_GOSSIP_BYTES || self.updates.is_empty() {
+            let budget = self.update_limit.available(now);
+            if budget < MINIMUM_GOSSIP_BYTES || self.updates.is_empty() {
                 break;
             }
             self.send(now, peer, GossipMessage::Gossip, actions);
--- a/crates/tansylead-cluster/src/membership/receive.rs
+++ b/crates/tansylead-cluster/src/membership/receive.rs
@@ -5,14 +5,14 @@
 use super::member::MemberRecord;
 use super::packet::{GossipMessage, GossipPacket, Sequence};
 use super::probes::{Probe, ProbeKind};
-use super::table::Comparison;
+use super::table::RecordAge;
 use std::net::SocketAddr;
 use tansylead_types::{InstanceId, Moment, NodeId};
 
-/// Probes open at once, those relayed for others included; a bound on memory only.
+/// Limit on open probes, including those relayed for others; it only bounds memory.
 const MAXIMUM_OPEN_PROBES: usize = 256;
 
-/// Packets per second sent only to tell their receivers what is held about them.
+/// Limit on packets per second sent only to show their receivers the records held of them.
 const CORRECTIONS_PER_SECOND: u32 = 10;
 
 impl Membership {
@@ -35,14 +35,14 @@
             return;
         }
         self.counters.packets_received += 1;
-        if self.adopt(now, sender, actions) == Comparison::Newer {
-            self.pass_on(now, peer);
+        if self.apply_record(now, sender, actions) == RecordAge::Newer {
+            self.queue_update(now, peer);
         }
-        self.hear_from_place(now, sender);
+        self.reprobe_unreachable_place(now, sender);
         let limit = self.transmission_limit();
         for update in &packet.updates {
-            if self.adopt(now, update, actions) == Comparison::Same {
-                self.updates.heard(update.node(), limit);
+            if self.apply_record(now, update, actions) == RecordAge::Same {
+                self.updates.count_received(update.node(), limit);
             }
         }
         if packet.config != self.config {
@@ -51,7 +51,7 @@
                 digest: packet.config,
             });
         }
-        self.compare_tables(now, sender, packet.members_hash, actions);
+        self.check_table_hash(now, sender, packet.members_hash, actions);
         self.handle_message(now, packet, actions);
     }
 
@@ -61,8 +61,8 @@
             .is_some_and(|held| held.instance.boot > sender.instance.boot)
     }
 
-    /// Tells a node what is held about it. Limited, so that no pair of daemons can keep
-    /// correcting each other at the speed of the network.
+    /// Sends a node its own record as held here. Rate-limited, so that no two daemons can keep
+    /// correcting each other at network speed.
     fn send_correction(&mut self, now: Moment, node: NodeId, actions: &mut Vec<MembershipAction>) {
         if self.correction_limit.admit(now, CORRECTIONS_PER_SECOND) {
             let updates: Vec<MemberRecord> = self.table.get(node).cloned().into_iter().collect();
@@ -83,7 +83,7 @@
             }
             GossipMessage::Ack(sequence) => {
                 self.receive_ack(now, sequence, actions);
-                self.correct_sender(now, peer, actions);
+                self.correct_if_refutable(now, peer, actions);
             }
             GossipMessage::PingRequest { sequence, target } => {
                 self.relay_probe(now, peer, sequence, target, actions);
@@ -97,7 +97,7 @@
             }
             GossipMessage::Page(page) => self.receive_page(now, peer, &page, actions),
             GossipMessage::Gossip | GossipMessage::Announce => {
-                self.correct_sender(now, peer, actions)
+                self.correct_if_refutable(now, peer, actions)
             }
             GossipMessage::RevisionQuery(sequence) => {
                 self.send(now, peer, GossipMessage::RevisionReply(sequence), actions);
@@ -112,9 +112,14 @@
         }
     }
 
-    /// Messages without an answer still get one if the sender has something to refute.
-    fn correct_sender(&mut self, now: Moment, peer: NodeId, actions: &mut Vec<MembershipAction>) {
-        if self.statement_to_refute(peer).is_some() {
+    /// Answers a message that needs no answer if the sender's record is one to refute.
+    fn correct_if_refutable(
+        &mut self,
+        now: Moment,
+        peer: NodeId,
+        actions: &mut Vec<MembershipAction>,
+    ) {
+        if self.refutable_record(peer).is_some() {
             self.send_correction(now, peer, actions);
         }
     }
@@ -131,7 +136,7 @@
         match probe.kind {
             ProbeKind::Local | ProbeKind::Failed => {}
             ProbeKind::Remote(place) => {
-                if self.places.answered(now, &place) {
+                if self.places.record_answer(now, &place) {
                     actions.push(MembershipAction::PlaceReachability {
                         place,
                         reachable: true,
--- a/crates/tansylead-cluster/src/membership/statements.rs
+++ b/crates/tansylead-cluster/src/membership/records.rs
@@ -1,50 +1,51 @@
-//! Statements: taking them in, refuting those about this daemon, and making new ones.
+//! Applying received records, refuting those about this daemon, and updating its own record.
 
 use super::event::MembershipAction;
 use super::machine::{Membership, Timer};
 use super::member::{MemberRecord, MemberState};
 use super::packet::GossipMessage;
-use super::table::Comparison;
+use super::table::RecordAge;
 use std::time::Duration;
 use tansylead_types::{Moment, NodeId};
 
-/// Members told directly when this daemon begins to leave or exits.
+/// Members notified directly when this daemon begins to leave or exits.
 const LEAVE_FAN_OUT: usize = 8;
 
 impl Membership {
-    /// Takes a statement into the table and arranges for what follows from it.
-    pub(super) fn adopt(
+    /// Applies a received record to the table; if it is newer, queues it for gossip, schedules its
+    /// timers and reports the change.
+    pub(super) fn apply_record(
         &mut self,
         now: Moment,
         record: &MemberRecord,
         actions: &mut Vec<MembershipAction>,
-    ) -> Comparison {
+    ) -> RecordAge {
         if record.node() == self.local.node() {
-            self.hear_about_local(now, record, actions);
-            return Comparison::Same;
+            self.handle_record_of_self(now, record, actions);
+            return RecordAge::Same;
         }
-        let comparison = self.table.apply(record);
-        if comparison == Comparison::Newer {
-            // What a joining daemon is told by others is news to itself only.
+        let age = self.table.apply(record);
+        if age == RecordAge::Newer {
+            // What a joining daemon learns is already known to the other members.
             if self.sync.joined {
-                self.pass_on(now, record.node());
+                self.queue_update(now, record.node());
             }
-            self.watch_place(now, &record.place);
+            self.monitor_place(now, &record.place);
             self.schedule_state_timer(now, record);
             actions.push(MembershipAction::Changed(record.clone()));
         }
-        comparison
+        age
     }
 
-    /// Queues the statement held about a node for gossip.
-    pub(super) fn pass_on(&mut self, now: Moment, node: NodeId) {
+    /// Queues the record of a node for gossip.
+    pub(super) fn queue_update(&mut self, now: Moment, node: NodeId) {
         self.updates.push(node);
-        self.agreeing_packets = 0;
+        self.matching_packets = 0;
         self.schedule_gossip(now);
     }
 
-    /// What is held against a node that it may want to refute.
-    pub(super) fn statement_to_refute(&self, node: NodeId) -> Option<&MemberRecord> {
+    /// The record of a node if the node may want to refute it.
+    pub(super) fn refutable_record(&self, node: NodeId) -> Option<&MemberRecord> {
         let record = self.table.get(node)?;
         let refutable = matches!(record.state, MemberState::Suspect | MemberState::Failed);
         refutable.then_some(record)
@@ -55,7 +56,7 @@
         (self.settings.retransmit_multiplier * size.log10()).ceil() as u32 + 1
     }
 
-    fn hear_about_local(
+    fn handle_record_of_self(
         &mut self,
         now: Moment,
         record: &MemberRecord,
@@ -70,16 +71,16 @@
             }
             return;
         }
-        let about_this_run = record.instance == self.local.instance;
-        let harmful = record.precedence() > self.local.precedence();
-        if about_this_run && harmful && self.local.state != MemberState::Left {
+        let is_this_run = record.instance == self.local.instance;
+        let outranks_own = record.precedence() > self.local.precedence();
+        if is_this_run && outranks_own && self.local.state != MemberState::Left {
             self.counters.refutations += 1;
-            self.restate(now, record.incarnation + 1, self.local.state, actions);
+            self.update_local(now, record.incarnation + 1, self.local.state, actions);
         }
     }
 
-    /// Makes a new statement about this daemon.
-    fn restate(
+    /// Replaces this daemon's own record and spreads it.
+    fn update_local(
         &mut self,
         now: Moment,
         incarnation: u64,
@@ -89,7 +90,7 @@
         self.local.incarnation = incarnation;
         self.local.state = state;
         self.table.apply(&self.local);
-        self.pass_on(now, self.local.node());
+        self.queue_update(now, self.local.node());
         actions.push(MembershipAction::Changed(self.local.clone()));
     }
 
@@ -102,7 +103,7 @@
         if self.local.state >= state {
             return;
         }
-        self.restate(now, self.local.incarnation + 1, state, actions);
+        self.update_local(now, self.local.incarnation + 1, state, actions);
         let local = [self.local.node()];
         let peers = self
             .table
--- a/crates/tansylead-cluster/src/membership/settings.rs
+++ b/crates/tansylead-cluster/src/membership/settings.rs
@@ -7,17 +7,17 @@
 pub struct MembershipSettings {
     /// Period of probes within the place.
     pub probe_period: Duration,
-    /// Time for a direct acknowledgement before helpers are asked.
+    /// Time to wait for a direct acknowledgement before helpers are asked.
     pub direct_timeout: Duration,
     /// Helpers asked to probe a silent member.
     pub indirect_probes: usize,
     /// A suspicion lasts this many probe periods, times the decimal logarithm of the place's size.
     pub suspicion_multiplier: f64,
-    /// A statement is passed on this many times, times the decimal logarithm of the cluster size.
+    /// A record is sent this many times as an update, times the decimal logarithm of the cluster size.
     pub retransmit_multiplier: f64,
     /// Period of probes to each other place.
     pub remote_probe_period: Duration,
-    /// A place that failed this many remote probes in a row counts as unreachable.
+    /// A place that fails this many consecutive remote probes counts as unreachable.
     pub remote_failures: u32,
     /// Longest period of probes to an unreachable place.
     pub unreachable_probe_limit: Duration,
@@ -25,24 +25,26 @@
     pub failed_probe_period: Duration,
     /// Failed members are remembered and probed this long.
     pub failed_retention: Duration,
-    /// Members that left are remembered this long, so that old statements do not revive them.
+    /// Members that left are remembered this long, so that old records do not revive them.
     pub left_retention: Duration,
-    /// Members of an unreachable place are remembered this long after it was last heard.
+    /// Members of an unreachable place are remembered this long after its last answer.
     pub unreachable_retention: Duration,
     /// Member tables that differ this long are compared page by page.
     pub mismatch_tolerance: Duration,
     /// Time between page requests.
     pub page_interval: Duration,
-    /// Bytes of pages, summaries and queued statements sent per second, all together. Surplus
-    /// requests for pages are dropped, and asked again or elsewhere.
+    /// Bytes of pages, summaries and queued updates sent per second in total. Surplus page requests
+    /// are dropped, and retried at the same or another peer.
     pub bulk_bytes_per_second: u64,
-    /// Summaries served per second; surplus requests are dropped, and asked again or elsewhere.
+    /// Summaries served per second; surplus requests are dropped, and retried at the same or another
+    /// peer.
     pub summaries_served_per_second: u32,
-    /// Bytes of queued statements passed on per second.
+    /// Bytes of queued updates sent per second.
     pub update_bytes_per_second: u64,
-    /// Without seeds, wait for a machine list before this daemon counts as alone.
+    /// Whether a daemon without seeds waits for a machine list before it counts as alone.
     pub expect_machine_list: bool,
-    /// Shortest period of attempts to join; also sets that of reminders to seeds that are not members.
+    /// Shortest period of join attempts; also the basis of the period at which seeds that are not
+    /// members are contacted.
     pub join_period: Duration,
 }
 
--- a/crates/tansylead-cluster/src/membership/sizes.rs
+++ b/crates/tansylead-cluster/src/membership/sizes.rs
@@ -1,5 +1,5 @@
-//! Encoded sizes of statements, so that packets can be filled up to the size limit without
-//! encoding them twice.
+//! Encoded sizes of records, so that packets can be filled up to the size limit without encoding them
+//! twice.
 
 use super::member::MemberRecord;
 use super::packet::PageMember;
@@ -13,12 +13,12 @@
 const LONGEST_ADDRESS_BYTES: usize = VARIANT_BYTES + IPV6_BYTES + 3;
 const LENGTH_BYTES: usize = 2;
 
-/// Upper bound of everything in a packet but the sender, names in the message and statements:
-/// three hashes or revisions, a message with two addresses, and lengths.
+/// Upper bound of everything in a packet except the sender, names in the message and records: three
+/// hashes or revisions, a message with two addresses, and lengths.
 const FIXED_PACKET_BYTES: usize =
     3 * LONGEST_NUMBER_BYTES + VARIANT_BYTES + 2 * LONGEST_ADDRESS_BYTES + 3 * LENGTH_BYTES;
 
-/// Bytes of an encoded number.
+/// Bytes of a varint-encoded number.
 fn number_bytes(number: u64) -> usize {
     const BITS_PER_BYTE: u32 = 7;
     let bits = u64::BITS - number.leading_zeros();
@@ -39,7 +39,7 @@
     number_bytes(name.len() as u64) + name.len()
 }
 
-/// Bytes of an encoded statement.
+/// Bytes of an encoded record.
 pub(super) fn record_bytes(record: &MemberRecord) -> usize {
     address_bytes(record.instance.node.0)
         + number_bytes(record.instance.boot)
@@ -62,7 +62,7 @@
         + VARIANT_BYTES
 }
 
-/// Bytes left for names and statements in a packet of this sender.
+/// Bytes left for names and records in a packet of this sender.
 pub(super) fn packet_budget(sender: &MemberRecord) -> usize {
     let used = FRAME_HEADER_BYTES + FIXED_PACKET_BYTES + record_bytes(sender);
     MAXIMUM_PACKET_BYTES.saturating_sub(used)
--- a/crates/tansylead-cluster/src/membership/sync.rs
+++ b/crates/tansylead-cluster/src/membership/sync.rs
@@ -1,40 +1,40 @@
-//! Comparison of whole member tables with a peer, page by page: how a daemon joins, and how
-//! statements that gossip lost are found.
+//! RecordAge of whole member tables with a peer, page by page: how a daemon joins, and how it
+//! recovers records that gossip lost (anti-entropy).
 //!
-//! A walk asks one peer for a summary, then for the pages of each place whose hash differs, its
-//! own place first. It only takes in; the peer does the same on its own account.
+//! A comparison requests a summary from one peer, then the pages of each place whose hash differs,
+//! the own place first. It only pulls; the peer runs its own comparisons.
 
 use super::packet::PlaceSummary;
 use std::collections::{BTreeMap, VecDeque};
 use tansylead_types::{Moment, NodeId, PlaceName};
 
-/// A walk in progress.
+/// Progress through the pages of a peer's table.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Walk {
+pub(super) struct PageProgress {
     pub(super) peer: NodeId,
     pub(super) peer_joined: bool,
     pub(super) places: VecDeque<PlaceName>,
     pub(super) after: Option<NodeId>,
-    /// Requests sent for the current page.
+    /// Requests sent so far for the current page.
     pub(super) attempts: u32,
-    /// Whether the answer to the last request is still to come.
-    pub(super) waiting: bool,
+    /// Whether the last request is still unanswered.
+    pub(super) awaiting_page: bool,
 }
 
-/// What table comparison is doing.
+/// Current step of table comparison.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum SyncStep {
-    /// Nothing.
+    /// No comparison in progress.
     Idle,
-    /// A summary was asked for.
+    /// A summary was requested.
     Summary {
         /// Peer asked.
         peer: NodeId,
-        /// When.
+        /// Time of the request.
         asked: Moment,
     },
-    /// Pages are being asked for.
-    Pages(Walk),
+    /// Pages are being requested.
+    Pages(PageProgress),
 }
 
 /// State of table comparison.
@@ -42,9 +42,9 @@
 pub(super) struct Sync {
     pub(super) step: SyncStep,
     pub(super) joined: bool,
-    /// Walks completed with peers that have not joined themselves.
-    pub(super) walks_with_unjoined: u32,
-    /// Since when peers of a place have shown another table, without one that agrees.
+    /// Comparisons completed with peers that have not joined themselves.
+    pub(super) unjoined_comparisons: u32,
+    /// Start of the period in which all packets from peers of a place showed another table hash.
     pub(super) mismatch_since: BTreeMap<PlaceName, Moment>,
     /// Join attempts made.
     pub(super) join_attempts: u32,
@@ -55,15 +55,15 @@
         Self {
             step: SyncStep::Idle,
             joined,
-            walks_with_unjoined: 0,
+            unjoined_comparisons: 0,
             mismatch_since: BTreeMap::new(),
             join_attempts: 0,
         }
     }
 }
 
-impl Walk {
-    /// A walk over the places that differ, own place first.
+impl PageProgress {
+    /// The pages of all places that differ, own place first.
     pub(super) fn new(
         peer: NodeId,
         peer_joined: bool,
@@ -85,16 +85,16 @@
             places,
             after: None,
             attempts: 0,
-            waiting: false,
+            awaiting_page: false,
         }
     }
 
-    /// Takes in the position after a page; a page that was not asked for changes nothing.
+    /// Moves on to the page after the one received; an unrequested page changes nothing.
     pub(super) fn advance(&mut self, place: &PlaceName, next: Option<NodeId>) {
-        if self.places.front() != Some(place) || !self.waiting {
+        if self.places.front() != Some(place) || !self.awaiting_page {
             return;
         }
-        self.waiting = false;
+        self.awaiting_page = false;
         self.attempts = 0;
         self.after = next;
         if next.is_none() {
--- a/crates/tansylead-cluster/src/membership/table.rs
+++ b/crates/tansylead-cluster/src/membership/table.rs
@@ -1,7 +1,7 @@
-//! All statements this daemon holds about members, with indexes by place and state.
+//! The records of all members, with indexes by place and state.
 //!
-//! Invariant: the statement held about a node never loses precedence, except that it may be
-//! forgotten after its retention.
+//! Invariant: the record of a node is only replaced by one of higher precedence, or removed after its
+//! retention.
 
 use super::member::{MemberRecord, MemberState};
 use super::packet::PlaceSummary;
@@ -11,14 +11,14 @@
 use tansylead_types::{InstanceId, NodeId, PlaceName};
 use xxhash_rust::xxh3::Xxh3;
 
-/// How a received statement compares to the one held.
+/// How a received record compares to the one held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Comparison {
-    /// It is new and was stored.
+pub(super) enum RecordAge {
+    /// It is newer, or the first of its node, and was stored.
     Newer,
-    /// It is the one held.
+    /// It equals the one held.
     Same,
-    /// A later statement is held.
+    /// It is older than the one held.
     Older,
 }
 
@@ -26,20 +26,20 @@
 #[derive(Debug, Default)]
 pub(super) struct PlaceMembers {
     pub(super) running: NodeSet,
-    /// All members, in any state.
+    /// All members in any state.
     known: BTreeSet<NodeId>,
     hash: u64,
 }
 
 impl PlaceMembers {
-    /// All members with addresses after `after`, in order.
+    /// All members with addresses after `after`, ordered by address.
     pub(super) fn known_after(&self, after: Option<NodeId>) -> impl Iterator<Item = NodeId> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.known.range((start, Bound::Unbounded)).copied()
     }
 }
 
-/// All statements held.
+/// The member table.
 #[derive(Debug, Default)]
 pub(super) struct MemberTable {
     records: BTreeMap<NodeId, MemberRecord>,
@@ -95,22 +95,22 @@
         self.places.get(place).map_or(0, |members| members.hash)
     }
 
-    /// Stores a statement if it takes precedence over the one held.
-    pub(super) fn apply(&mut self, record: &MemberRecord) -> Comparison {
+    /// Stores a record if it takes precedence over the one held.
+    pub(super) fn apply(&mut self, record: &MemberRecord) -> RecordAge {
         if let Some(held) = self.records.get(&record.node()) {
             match record.precedence().cmp(&held.precedence()) {
-                std::cmp::Ordering::Less => return Comparison::Older,
-                std::cmp::Ordering::Equal => return Comparison::Same,
+                std::cmp::Ordering::Less => return RecordAge::Older,
+                std::cmp::Ordering::Equal => return RecordAge::Same,
                 std::cmp::Ordering::Greater => {}
             }
         }
         self.unindex(record.node());
         self.index(record);
         self.records.insert(record.node(), record.clone());
-        Comparison::Newer
+        RecordAge::Newer
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub(super) fn remove(&mut self, node: NodeId) -> Option<InstanceId> {
         self.unindex(node);
         self.records.remove(&node).map(|record| record.instance)
@@ -121,7 +121,7 @@
         let place = self.places.entry(record.place.clone()).or_default();
         place.known.insert(node);
         if record.state.is_running() {
-            let hash = statement_hash(record);
+            let hash = record_hash(record);
             place.running.insert(node);
             place.hash = place.hash.wrapping_add(hash);
             self.running.insert(node);
@@ -141,7 +141,7 @@
         };
         place.known.remove(&node);
         if record.state.is_running() {
-            let hash = statement_hash(record);
+            let hash = record_hash(record);
             place.running.remove(node);
             place.hash = place.hash.wrapping_sub(hash);
             self.running.remove(node);
@@ -152,8 +152,8 @@
     }
 }
 
-/// Hash of a statement; sums of it do not depend on the order of members.
-fn statement_hash(record: &MemberRecord) -> u64 {
+/// Hash of a record. Table hashes are sums of these, so they do not depend on the order of members.
+fn record_hash(record: &MemberRecord) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(record.node().to_string().as_bytes());
     hasher.update(&record.instance.boot.to_le_bytes());
--- a/crates/tansylead-cluster/src/membership/updates.rs
+++ b/crates/tansylead-cluster/src/membership/updates.rs
@@ -1,7 +1,7 @@
-//! Statements waiting to be passed on.
+//! The gossip queue: records waiting to be sent to peers.
 //!
-//! Invariants: a statement is passed on a bounded number of times; the least passed on goes
-//! first; a newer statement about a node replaces the queued one and starts over.
+//! Invariants: an update is sent a bounded number of times; the one sent least often goes first; a
+//! newer record of a node replaces the queued one and resets its count.
 
 use super::member::MemberRecord;
 use super::sizes::record_bytes;
@@ -9,44 +9,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tansylead_types::NodeId;
 
-/// No packet holds more statements than this.
+/// Maximum number of updates in a packet.
 const MAXIMUM_UPDATES: usize = 32;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
     transmissions: u32,
-    queued: u64,
+    queue_number: u64,
 }
 
-/// Statements waiting to be passed on.
+/// Nodes whose records wait to be sent, by priority.
 #[derive(Debug, Default)]
 pub(super) struct UpdateQueue {
     order: BTreeSet<(Priority, NodeId)>,
     priorities: BTreeMap<NodeId, Priority>,
-    next_queued: u64,
+    next_queue_number: u64,
 }
 
 impl UpdateQueue {
-    /// Queues the statement held about a node, or starts over with it.
+    /// Queues the record of a node, or resets its transmission count.
     pub(super) fn push(&mut self, node: NodeId) {
         self.remove(node);
         let priority = Priority {
             transmissions: 0,
-            queued: self.next_queued,
+            queue_number: self.next_queue_number,
         };
-        self.next_queued += 1;
+        self.next_queue_number += 1;
         self.insert(node, priority);
     }
 
-    /// A peer passed the queued statement on to this daemon: it counts like one passing on, since
-    /// the statement is known that much more widely.
-    pub(super) fn heard(&mut self, node: NodeId, transmission_limit: u32) {
+    /// Counts an update received from a peer as one transmission of the queued record, since it shows
+    /// that the record has spread.
+    pub(super) fn count_received(&mut self, node: NodeId, transmission_limit: u32) {
         if let Some(priority) = self.priorities.get(&node).copied() {
             self.count_transmission(node, priority, transmission_limit);
         }
     }
 
-    /// Drops everything: peers have shown to know it.
+    /// Drops all updates, once peers have shown that they know them.
     pub(super) fn clear(&mut self) {
         self.order.clear();
         self.priorities.clear();
@@ -56,7 +56,7 @@
         self.order.is_empty()
     }
 
-    /// Takes statements that fit the budget and counts them as passed on once more.
+    /// Returns updates that fit the budget and counts one transmission of each.
     pub(super) fn take(
         &mut self,
         table: &MemberTable,
