--- a/crates/tansylead-cluster/src/spread/event.rs
+++ b/crates/tansylead-cluster/src/spread/event.rs
@@ -14,61 +14,61 @@
         /// What it holds.
         digest: ConfigDigest,
     },
-    /// The pull asked for by `SpreadAction::Pull` ended.
+    /// The pull requested by `SpreadAction::Pull` ended.
     PullFinished {
         /// Peer pulled from.
         peer: NodeId,
-        /// Revision the pull asked for.
+        /// Revision that the pull started after.
         after: u64,
-        /// What the peer sent: everything after that revision.
+        /// Everything that the peer holds after that revision.
         result: Result<ObjectList, StepError>,
     },
-    /// The read asked for by `SpreadAction::ReadStore` ended.
+    /// The read requested by `SpreadAction::ReadStore` ended.
     StoreRead {
-        /// Revision the read asked for.
+        /// Revision that the read started after.
         after: u64,
-        /// What the store sent: everything after that revision.
+        /// Everything in the store after that revision.
         result: Result<ObjectList, StepError>,
     },
-    /// The statement held about a member changed (from `MembershipAction::Changed`).
+    /// The record of a member changed (from `MembershipAction::Changed`).
     Member(MemberRecord),
-    /// A member was forgotten (from `MembershipAction::Forgotten`).
+    /// A member was removed from the table (from `MembershipAction::Forgotten`).
     MemberForgotten(NodeId),
     /// Joining is complete (from `MembershipAction::Joined`).
     Joined,
-    /// The time given by `next_wakeup` has come.
+    /// The time returned by `next_wakeup` has been reached.
     Wakeup,
 }
 
 /// What the driver must do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SpreadAction {
-    /// Ask a peer over TCP for everything after a revision and report `PullFinished`. At most one
-    /// pull is wanted at a time: a new one replaces an open one, whose late answer does no harm.
+    /// Request everything after a revision from a peer over TCP, and report `PullFinished`. A new
+    /// pull replaces an open one, whose late answer does no harm.
     Pull {
         /// Peer.
         peer: NodeId,
         /// Revision; 0 for everything.
         after: u64,
     },
-    /// Read the store once and report `StoreRead`, also when the read times out. At most one is
+    /// Read the store once and report `StoreRead`, also if the read times out. At most one read is
     /// open at a time.
     ReadStore {
         /// Revision; 0 for everything.
         after: u64,
-        /// Whether the store may hold its answer until something changes (a watch).
+        /// Whether the store may hold its answer until something changes (long polling).
         hold: bool,
     },
-    /// Drop an open read of the store without reporting it: this daemon is no longer a reader.
+    /// Cancel the open read of the store without reporting it: this daemon is no longer a reader.
     StopReading,
-    /// These objects changed in the replica. Pass the digest on as `MembershipEvent::Config`.
+    /// These objects changed in the replica. Forward the digest as `MembershipEvent::Config`.
     Applied {
         /// Changed objects.
         keys: Vec<ObjectKey>,
-        /// What this daemon holds now.
+        /// Summary of the replica after the change.
         digest: ConfigDigest,
     },
-    /// Tell these peers at once (as `MembershipEvent::Announce`). Always follows an `Applied`.
+    /// Notify these peers at once (as `MembershipEvent::Announce`). Always follows an `Applied`.
     Announce {
         /// Peers.
         to: Vec<NodeId>,
--- a/crates/tansylead-cluster/src/spread/feed_tree.rs
+++ b/crates/tansylead-cluster/src/spread/feed_tree.rs
@@ -1,11 +1,11 @@
-//! From which daemon of its place each daemon takes changes: a tree over the members in rendezvous
-//! order.
+//! The daemon of its place from which each daemon receives changes: a tree over the members in
+//! rendezvous order.
 //!
-//! The first members read the store; every other member has one parent that stands before it, and no
-//! member has more children than the fan-out. So the store is asked by a fixed number of daemons,
-//! no daemon's link carries a change more often than the fan-out, and the depth grows with the
-//! logarithm of the place's size. Daemons that see different members may for a while disagree on
-//! parents; a member that finds its parent's word old turns to [`FeedSources::upstream`].
+//! The first members read the store; every other member has one parent that comes before it in the
+//! order, and no member has more children than the fan-out. So a fixed number of daemons reads the
+//! store, no daemon sends a change more often than the fan-out, and the depth grows with the
+//! logarithm of the place's size. While daemons see different members they may disagree on parents;
+//! a member whose parent's data is stale turns to [`FeedSources::upstream`].
 
 use super::readers::ReaderRanking;
 use std::collections::HashSet;
@@ -20,12 +20,12 @@
     fan_out: usize,
 }
 
-/// Where one member takes changes from.
+/// The daemons from which one member may receive changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FeedSources {
-    /// The member's parent; none for a reader.
+    /// The member's parent; `None` for a reader.
     pub parent: Option<NodeId>,
-    /// Members that are nearer to the store than this one; for a reader, the other readers.
+    /// Members at a smaller depth in the tree than this one; for a reader, the other readers.
     pub upstream: HashSet<NodeId>,
 }
 
@@ -44,7 +44,7 @@
         self.order.iter().take(self.readers).copied()
     }
 
-    /// Where a member takes changes from; nowhere if it is not in the tree.
+    /// The sources of a member; empty if it is not in the tree.
     pub fn sources(&self, node: NodeId) -> FeedSources {
         let Some(position) = self.order.iter().position(|member| *member == node) else {
             return FeedSources::default();
@@ -66,7 +66,7 @@
         Some(after_readers / self.fan_out)
     }
 
-    /// Position after the last member that is as far from the store as this one.
+    /// Position after the last member at the same depth as this one.
     fn level_end(&self, position: usize) -> usize {
         let mut end = self.readers;
         let mut level = self.readers;
--- a/crates/tansylead-cluster/src/spread/in_force.rs
+++ b/crates/tansylead-cluster/src/spread/in_force.rs
@@ -1,25 +1,25 @@
-//! Finds out on which live daemons a revision is in force, by asking each of them.
+//! Checks on which running daemons a revision is in force, by querying each of them.
 //!
-//! A revision says that everything up to it was taken in, not that it won: after the store was
-//! restored from a backup a write may lose against a higher generation that daemons hold. Before
-//! a check the driver must see that its own replica holds the change in question.
+//! Holding a revision means that everything up to it was received, not that each write was applied:
+//! after the store was restored from a backup, a write may lose against a higher generation that
+//! daemons hold. Before a check the driver must verify that its own replica holds the change.
 
 use crate::membership::{ConfigDigest, MemberRecord, Sequence};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use tansylead_types::{InstanceId, Moment, NodeId};
 
-/// Queries are sent in this many batches per second.
+/// Number of batches per second in which queries are sent.
 const BATCHES_PER_SECOND: u32 = 20;
 
-/// Pace and limits of one check.
+/// Rate and time limits of one check.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InForceSettings {
-    /// Queries sent per second, repetitions included.
+    /// Queries sent per second, including retries.
     pub queries_per_second: u32,
-    /// A query without reply is repeated after this long.
+    /// A query without a reply is retried after this time.
     pub reply_timeout: Duration,
-    /// The check ends after this long with what it knows.
+    /// The check ends after this time with the replies received so far.
     pub time_limit: Duration,
 }
 
@@ -38,27 +38,27 @@
 pub enum InForceEvent {
     /// A daemon replied (from `MembershipAction::RevisionReply`).
     Reply {
-        /// Number of the query.
+        /// Sequence number of the query.
         sequence: Sequence,
-        /// Who replied.
+        /// Sender of the reply.
         peer: InstanceId,
         /// What it holds.
         digest: ConfigDigest,
     },
-    /// A member's state changed while the check runs (from `MembershipAction::Changed`).
+    /// The record of a member changed while the check runs (from `MembershipAction::Changed`).
     Member(MemberRecord),
-    /// The time given by `next_wakeup` has come.
+    /// The time returned by `next_wakeup` has been reached.
     Wakeup,
 }
 
 /// What the driver must do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InForceAction {
-    /// Ask a peer (as `MembershipEvent::QueryRevision`).
+    /// Query a peer (as `MembershipEvent::QueryRevision`).
     Query {
         /// Peer.
         to: NodeId,
-        /// Number the reply must carry.
+        /// Sequence number that the reply must carry.
         sequence: Sequence,
     },
     /// The check has ended; the report is final.
@@ -68,9 +68,9 @@
 /// On which daemons a revision is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct InForceReport {
-    /// Daemons that hold the revision, by their own word.
+    /// Number of daemons that replied that they hold the revision.
     pub confirmed: usize,
-    /// Running daemons in the check.
+    /// Number of running daemons in the check.
     pub total: usize,
     /// Daemons that replied with an older revision, or not at all.
     pub missing: Vec<NodeId>,
@@ -90,7 +90,7 @@
     sequence: Sequence,
     targets: BTreeMap<NodeId, Target>,
     unconfirmed: usize,
-    /// When each unconfirmed daemon is to be asked; in order of time.
+    /// Time of the next query to each unconfirmed daemon, in order of time.
     queue: VecDeque<(Moment, NodeId)>,
     deadline: Moment,
     next_batch: Moment,
@@ -98,8 +98,8 @@
 }
 
 impl InForceCheck {
-    /// Starts a check of `revision` on the running members, the asking daemon among them.
-    /// `sequence` must not be that of another check in progress.
+    /// Starts a check of `revision` on the running members, including this daemon. `sequence` must
+    /// differ from that of every other check in progress.
     pub fn new(
         now: Moment,
         revision: u64,
@@ -135,7 +135,7 @@
                 sequence,
                 peer,
                 digest,
-            } => self.take_reply(sequence, peer, digest),
+            } => self.on_reply(sequence, peer, digest),
             InForceEvent::Member(member) => self.update_member(now, &member),
             InForceEvent::Wakeup => {}
         }
@@ -147,7 +147,7 @@
         actions
     }
 
-    /// When `Wakeup` is due; none once the check has ended.
+    /// Time at which `Wakeup` is due; `None` once the check has ended.
     pub fn next_wakeup(&self) -> Option<Moment> {
         if self.finished {
             return None;
@@ -157,7 +157,7 @@
         Some(next_batch.map_or(self.deadline, |batch| batch.min(self.deadline)))
     }
 
-    /// What is known so far.
+    /// The result so far.
     pub fn report(&self) -> InForceReport {
         let missing: Vec<NodeId> = self
             .targets
@@ -172,18 +172,19 @@
         }
     }
 
-    fn take_reply(&mut self, sequence: Sequence, peer: InstanceId, digest: ConfigDigest) {
+    fn on_reply(&mut self, sequence: Sequence, peer: InstanceId, digest: ConfigDigest) {
         let Some(target) = self.targets.get_mut(&peer.node) else {
             return;
         };
-        let counts = sequence == self.sequence && target.boot == peer.boot && !target.confirmed;
-        if counts && digest.revision >= self.revision {
+        let is_awaited = sequence == self.sequence && target.boot == peer.boot && !target.confirmed;
+        if is_awaited && digest.revision >= self.revision {
             target.confirmed = true;
             self.unconfirmed -= 1;
         }
     }
 
-    /// A member that stops running leaves the check; a new run of a daemon is asked anew.
+    /// Updates the targets: a member that stops running is removed, a restarted daemon is queried
+    /// again.
     fn update_member(&mut self, now: Moment, member: &MemberRecord) {
         let node = member.node();
         let boot = member.instance.boot;
@@ -222,8 +223,8 @@
             {
                 let sequence = self.sequence;
                 actions.push(InForceAction::Query { to: node, sequence });
-                let again = now + self.settings.reply_timeout;
-                self.queue.push_back((again, node));
+                let retry_at = now + self.settings.reply_timeout;
+                self.queue.push_back((retry_at, node));
             }
         }
         if !actions.is_empty() {
--- a/crates/tansylead-cluster/src/spread/machine.rs
+++ b/crates/tansylead-cluster/src/spread/machine.rs
@@ -1,7 +1,7 @@
-//! The spread state machine: readers of the store, announcements and pulls between peers.
+//! The spread state machine: reading of the store, announcements and pulls between peers.
 //!
-//! Invariants: the replica decides what is applied, so no order of reads, pulls and
-//! announcements can take anything back; at most one store read and one pull are open.
+//! Invariants: the replica decides what is applied, so no order of reads, pulls and announcements
+//! can revert a change; at most one store read and one pull are open.
 
 use super::event::{SpreadAction, SpreadEvent};
 use super::puller::{Pull, Puller};
@@ -36,12 +36,12 @@
     pub objects_older: u64,
 }
 
-/// Why this daemon does not serve a pull.
+/// Error of a daemon that cannot serve a pull because it holds no complete configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no configuration to serve yet")]
 pub struct NothingToServe;
 
-/// Spread of configuration as one daemon performs it.
+/// One daemon's part in spreading the configuration.
 #[derive(Debug)]
 pub struct SpreadMachine {
     settings: SpreadSettings,
@@ -60,7 +60,8 @@
 }
 
 impl SpreadMachine {
-    /// A daemon without configuration. `joined` is `Membership::is_joined` at the same moment.
+    /// A daemon without configuration. `joined` is the current `Membership::is_joined`; `seed`
+    /// initializes the random generator.
     pub fn new(
         now: Moment,
         local: LocalMember,
@@ -94,7 +95,7 @@
     pub fn on_event(&mut self, now: Moment, event: SpreadEvent) -> Vec<SpreadAction> {
         let mut actions = Vec::new();
         match event {
-            SpreadEvent::PeerConfig { peer, digest } => self.puller.hear(peer, digest),
+            SpreadEvent::PeerConfig { peer, digest } => self.puller.record_digest(peer, digest),
             SpreadEvent::PullFinished {
                 peer,
                 after,
@@ -108,28 +109,28 @@
             SpreadEvent::Joined => self.joined = true,
             SpreadEvent::Wakeup => {}
         }
-        self.decide_reading(now, &mut actions);
+        self.update_reader_role(now, &mut actions);
         self.read_store(now, &mut actions);
         self.pull(now, &mut actions);
         actions
     }
 
-    /// When `Wakeup` is due.
+    /// Time at which `Wakeup` is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
-        let join = self.waits_to_join().then_some(self.join_deadline);
+        let join = self.awaits_join().then_some(self.join_deadline);
         [join, self.store.next_wakeup(), self.puller.next_wakeup()]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// The configuration held.
+    /// The configuration that this daemon holds.
     pub fn replica(&self) -> &ConfigReplica {
         &self.replica
     }
 
-    /// What a peer that holds everything up to `after` lacks; the driver serves at most
-    /// [`SpreadSettings::pulls_served`] at once.
+    /// The changes for a peer that holds everything up to `after`. The driver must serve at most
+    /// [`SpreadSettings::pulls_served`] pulls at once.
     pub fn serve(&self, after: u64) -> Result<ObjectList, NothingToServe> {
         if !self.replica.is_complete() {
             return Err(NothingToServe);
@@ -137,7 +138,7 @@
         Ok(self.replica.delta_after(after))
     }
 
-    /// Whether there is a configuration, and why not.
+    /// Whether this daemon holds a configuration, and if not, why.
     pub fn readiness(&self) -> Readiness {
         if self.replica.is_complete() {
             return Readiness::Ready;
@@ -163,7 +164,7 @@
         self.counters
     }
 
-    fn waits_to_join(&self) -> bool {
+    fn awaits_join(&self) -> bool {
         !self.joined && !self.store.is_active() && self.ranks_as_reader()
     }
 
@@ -203,13 +204,13 @@
         self.puller.forget(node);
     }
 
-    fn decide_reading(&mut self, now: Moment, actions: &mut Vec<SpreadAction>) {
+    fn update_reader_role(&mut self, now: Moment, actions: &mut Vec<SpreadAction>) {
         let may_read = self.joined || now >= self.join_deadline;
-        let reads = self.ranks_as_reader() && may_read;
-        if reads && !self.store.is_active() {
+        let is_reader = self.ranks_as_reader() && may_read;
+        if is_reader && !self.store.is_active() {
             let delay = self.settings.read_interval.mul_f64(self.random.random());
             self.store.start(now, delay);
-        } else if !reads && self.store.is_active() && self.store.stop() {
+        } else if !is_reader && self.store.is_active() && self.store.stop() {
             actions.push(SpreadAction::StopReading);
         }
     }
@@ -238,20 +239,20 @@
         match result {
             Ok(list) => {
                 let store_revision = list.revision;
-                // A store behind `after` has been restored: its list is not a delta after it.
+                // A store behind `after` was restored from a backup: its list is not a delta.
                 if store_revision >= after {
                     self.apply(after, list, None, actions);
                 }
                 let held = self.replica.revision();
                 let random = &mut self.random;
                 self.store
-                    .succeeded(now, store_revision, held, &self.settings, random);
+                    .on_success(now, store_revision, held, &self.settings, random);
             }
             Err(error) => {
                 self.counters.store_failures += 1;
                 let error = error.to_string();
                 self.store
-                    .failed(now, error, &self.settings, &mut self.random);
+                    .on_failure(now, error, &self.settings, &mut self.random);
             }
         }
     }
@@ -296,8 +297,8 @@
         source: Option<NodeId>,
         actions: &mut Vec<SpreadAction>,
     ) {
-        // A gap cannot arise: reads and pulls start at or below what was held when they started,
-        // and what is held never goes down. A list with a gap is dropped all the same.
+        // A gap cannot occur: reads and pulls start at or below the revision held when they start,
+        // and that revision never decreases. A list with a gap would be dropped all the same.
         let Ok(outcome) = self.replica.apply(after, list) else {
             return;
         };
--- a/crates/tansylead-cluster/src/spread/mod.rs
+++ b/crates/tansylead-cluster/src/spread/mod.rs
@@ -1,7 +1,7 @@
 //! Spread of configuration from the store to every daemon.
 //!
-//! A few readers per place watch the store; everyone announces what it applied to a few random
-//! peers, and pulls from whoever holds more. See `docs/design/0004-configuration-spread.md`.
+//! A few readers per place watch the store. Every daemon announces what it applied to a few random
+//! peers, and pulls from peers that hold more. See `docs/design/0004-configuration-spread.md`.
 
 mod event;
 mod feed_tree;
--- a/crates/tansylead-cluster/src/spread/puller.rs
+++ b/crates/tansylead-cluster/src/spread/puller.rs
@@ -1,4 +1,4 @@
-//! From which peer to pull, and when to give a pull up.
+//! Selection of the peer to pull from, and timeouts of pulls.
 //!
 //! Invariants: at most one pull is open; peers known to hold more are tried in turn; memory is
 //! bounded by [`MAXIMUM_SOURCES`].
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use tansylead_types::{Moment, NodeId};
 
-/// Peers remembered as holding more than this daemon.
+/// Limit on peers remembered as holding another configuration than this daemon.
 const MAXIMUM_SOURCES: usize = 16;
 
 /// One pull to perform.
@@ -26,7 +26,7 @@
     deadline: Moment,
 }
 
-/// Pulling from peers.
+/// State of pulling from peers.
 #[derive(Debug)]
 pub(super) struct Puller {
     open: Option<OpenPull>,
@@ -53,8 +53,8 @@
         self.open.as_ref().map(|open| open.deadline)
     }
 
-    /// Records what a peer holds.
-    pub(super) fn hear(&mut self, peer: NodeId, digest: ConfigDigest) {
+    /// Records which configuration a peer holds.
+    pub(super) fn record_digest(&mut self, peer: NodeId, digest: ConfigDigest) {
         if self.sources.len() < MAXIMUM_SOURCES || self.sources.contains_key(&peer) {
             self.sources.insert(peer, digest);
         }
@@ -64,7 +64,7 @@
         self.sources.remove(&peer);
     }
 
-    /// Ends the open pull if it is this one. A late answer to another pull ends nothing.
+    /// Closes the open pull if it is this one; a late answer to an earlier pull does not.
     pub(super) fn finish(&mut self, pull: Pull, error: Option<String>) {
         if self.open.as_ref().is_some_and(|open| open.pull == pull) {
             self.open = None;
@@ -75,7 +75,7 @@
         self.sources.remove(&pull.peer);
     }
 
-    /// Gives up an open pull whose time is up.
+    /// Gives up the open pull if its deadline has passed.
     pub(super) fn expire(&mut self, now: Moment) {
         let Some(open) = &self.open else {
             return;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The next pull, if a peer holds something this daemon lacks and no pull is open.
+    /// The next pull, if no pull is open and a peer holds something that this daemon lacks.
     pub(super) fn next(
         &mut self,
         now: Moment,
@@ -106,8 +106,8 @@
         Some(pull)
     }
 
-    /// Any of the peers that hold the newest revision: with a fixed choice among them, all daemons
-    /// that start together would pull everything from the same one.
+    /// A random one of the peers that hold the newest revision. With a fixed choice, all daemons that
+    /// start together would pull everything from the same peer.
     fn newer_source(&mut self, held: ConfigDigest, random: &mut impl Rng) -> Option<Pull> {
         self.sources.retain(|_, digest| {
             digest.revision > held.revision
@@ -129,8 +129,8 @@
         })
     }
 
-    /// A peer with other objects at the same revision: possible after a store was restored from a
-    /// backup and written again. Everything is pulled, at a low rate.
+    /// A peer with other objects at the same revision, which can occur after a store was restored
+    /// from a backup and written again. Everything is pulled, at a low rate.
     fn differing_source(
         &mut self,
         now: Moment,
--- a/crates/tansylead-cluster/src/spread/readers.rs
+++ b/crates/tansylead-cluster/src/spread/readers.rs
@@ -1,6 +1,6 @@
-//! Which daemons of a place read the store: the first few by rank in rendezvous order over the
-//! members that may take work. No election: daemons that see different members may for a while
-//! choose a reader too many or too few, which does no harm.
+//! Which daemons of a place read the store: the first few, by rendezvous hashing, of the members that
+//! may take work. There is no election: while daemons see different members, there may be a reader
+//! too many or too few, which does no harm.
 
 use crate::membership::MemberRecord;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +16,7 @@
 }
 
 impl ReaderRanking {
-    /// A ranking of the members of `place`, empty.
+    /// An empty ranking for the members of `place`.
     pub fn new(place: PlaceName) -> Self {
         Self {
             place,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes in the statement that now holds about a member.
+    /// Applies the current record of a member.
     pub fn update(&mut self, record: &MemberRecord) {
         let node = record.node();
         self.remove(node);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub fn remove(&mut self, node: NodeId) {
         if let Some(score) = self.scores.remove(&node) {
             self.order.remove(&(score, node));
--- a/crates/tansylead-cluster/src/spread/replica.rs
+++ b/crates/tansylead-cluster/src/spread/replica.rs
@@ -1,8 +1,8 @@
 //! The configuration one daemon holds.
 //!
-//! Invariants, whatever a store or a peer shows: the version (generation, then revision) of an
-//! object never goes down; the revision never goes down; deletions are kept as objects without
-//! contents. Applying lists in any order, any number of times, gives the same result.
+//! Invariants, whatever a store or a peer sends: the version (generation, then revision) of an
+//! object never decreases; the revision never decreases; deletions are kept as tombstones, objects
+//! without contents. Applying lists in any order and any number of times gives the same result.
 
 use crate::membership::ConfigDigest;
 use std::cmp::Ordering;
@@ -11,7 +11,7 @@
 use tansylead_types::{ObjectKey, StoredObject};
 use xxhash_rust::xxh3::Xxh3;
 
-/// A list that does not connect to what the replica holds.
+/// Error for a list that leaves a gap after the revision held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("list starts after revision {after} but the replica holds only up to {held}")]
 pub struct GapError {
@@ -21,14 +21,14 @@
     pub held: u64,
 }
 
-/// What applying a list changed.
+/// Result of applying a list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ApplyOutcome {
     /// Objects that changed.
     pub applied: Vec<ObjectKey>,
-    /// Objects of the list that were older than the ones held.
+    /// Number of objects in the list that were older than the ones held.
     pub older: usize,
-    /// Whether the digest changed.
+    /// Whether the digest or the completeness changed.
     pub changed: bool,
 }
 
@@ -47,17 +47,17 @@
         Self::default()
     }
 
-    /// Whether a complete configuration was ever received.
+    /// Whether a complete configuration was received.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Revision up to which everything is held.
+    /// Revision up to which the replica holds everything.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Summary of what is held.
+    /// Summary of the configuration held.
     pub fn digest(&self) -> ConfigDigest {
         ConfigDigest {
             revision: self.revision,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// One object; deleted ones have no contents.
+    /// One object; a deleted one has no contents.
     pub fn get(&self, key: &ObjectKey) -> Option<&StoredObject> {
         self.objects.get(key)
     }
@@ -75,7 +75,7 @@
         self.objects.values()
     }
 
-    /// Everything changed after a revision, to be sent to a peer.
+    /// All changes after a revision, to be sent to a peer.
     pub fn delta_after(&self, after: u64) -> ObjectList {
         let changed = |object: &&StoredObject| after == 0 || object.revision > after;
         ObjectList {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Applies a list that holds everything changed after revision `after`. Objects not newer
-    /// than the ones held are left out.
+    /// Applies a list of all changes after revision `after`. Objects that are not newer than the ones
+    /// held are skipped.
     pub fn apply(&mut self, after: u64, list: ObjectList) -> Result<ApplyOutcome, GapError> {
         if after > self.revision {
             return Err(GapError {
@@ -121,8 +121,8 @@
     }
 }
 
-/// Total order of the versions of one object. Generation decides; the rest breaks ties between
-/// writes of a store that was restored from a backup and then written again.
+/// Total order of the versions of one object. The generation decides; revision and change break ties
+/// between writes to a store that was restored from a backup and written again.
 fn compare_versions(left: &StoredObject, right: &StoredObject) -> Ordering {
     left.generation
         .cmp(&right.generation)
--- a/crates/tansylead-cluster/src/spread/settings.rs
+++ b/crates/tansylead-cluster/src/spread/settings.rs
@@ -7,30 +7,30 @@
 pub struct SpreadSettings {
     /// Store readers per place.
     pub readers_per_place: usize,
-    /// Peers of the own place told at once of a change.
+    /// Peers of the own place notified at once of a change.
     pub local_fan_out: usize,
-    /// Peers of other places told at once of a change.
+    /// Peers of other places notified at once of a change.
     pub remote_fan_out: usize,
-    /// A pull of changes that takes longer is given up and another peer asked.
+    /// A pull of changes that takes longer is given up and retried at another peer.
     pub pull_timeout: Duration,
-    /// The same for a pull of everything. Giving it up early repeats megabytes, which slows all
-    /// others that start at the same time.
+    /// The same for a full pull. A timeout that is too short repeats transfers of megabytes, which
+    /// slows all daemons that start at the same time.
     pub full_pull_timeout: Duration,
-    /// Pulls one daemon serves at once; the driver refuses more.
+    /// Pulls that one daemon serves at once; the driver refuses more.
     pub pulls_served: usize,
-    /// Period of pulls of everything from peers that hold other objects at the same revision.
+    /// Period of full pulls from peers that hold other objects at the same revision.
     pub full_pull_period: Duration,
     /// Shortest time between the starts of two reads of the store.
     pub read_interval: Duration,
-    /// Shortest wait after a failed read of the store; doubles with each failure.
+    /// Backoff after the first failed read of the store; doubles with each further failure.
     pub store_retry: Duration,
-    /// Longest wait after a failed read of the store.
+    /// Longest backoff after a failed read of the store.
     pub store_retry_limit: Duration,
-    /// A daemon that has not joined anybody reads the store after this long.
+    /// A daemon that has not joined may read the store after one to two times this.
     pub join_grace: Duration,
-    /// A reader reads everything this often, to notice a store restored from a backup.
+    /// Period of full reads by a reader, which detect a store restored from a backup.
     pub full_read_period: Duration,
-    /// After an outage of the store, a reader reads everything within this time.
+    /// After a store outage, each reader does a full read at a random time within this period.
     pub recovery_spread: Duration,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl SpreadSettings {
-    /// Time allowed for a pull of everything after a revision.
+    /// Timeout of a pull after a revision.
     pub fn pull_limit(&self, after: u64) -> Duration {
         match after {
             0 => self.full_pull_timeout,
--- a/crates/tansylead-cluster/src/spread/state.rs
+++ b/crates/tansylead-cluster/src/spread/state.rs
@@ -1,28 +1,28 @@
-//! States of configuration spread that operators and the daemon's readiness see.
+//! States of configuration spread, shown to operators and in the daemon's readiness.
 
-/// What this daemon knows of the store. Only store readers look at it.
+/// State of the store as seen by this daemon. Only store readers read it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreState {
     /// This daemon does not read the store, or not yet.
     #[error("read by other daemons of the place")]
     NotReading,
-    /// A first read is open.
+    /// The first read is in progress.
     #[error("no answer yet")]
     Unknown,
     /// The last read succeeded and agreed with the replica.
     #[error("current")]
     Current,
-    /// The store shows an older state than daemons hold, for example restored from a backup;
-    /// what daemons hold stays in force.
+    /// The store is at an older revision than daemons hold, for example after a restore from a
+    /// backup; the configuration that daemons hold stays in force.
     #[error("behind: shows only revision {store_revision}")]
     Behind {
-        /// Revision the store shows.
+        /// Revision of the store.
         store_revision: u64,
     },
     /// The last read failed.
     #[error("failing: {error}")]
     Failing {
-        /// Step, peer and cause.
+        /// Failed step, peer and cause.
         error: String,
     },
 }
@@ -40,8 +40,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("no configuration: store: {store}; peers: {peers}")]
 pub struct NotReadyReason {
-    /// What reading the store came to.
+    /// State of reading the store.
     pub store: String,
-    /// What asking peers came to.
+    /// State of pulling from peers.
     pub peers: String,
 }
--- a/crates/tansylead-cluster/src/spread/store_reader.rs
+++ b/crates/tansylead-cluster/src/spread/store_reader.rs
@@ -1,6 +1,6 @@
-//! When a store reader reads the store, and what the answers say about the store.
+//! Schedules a reader's reads of the store and derives the store's state from the results.
 //!
-//! Invariant: at most one read is open; failures are retried with growing, jittered waits.
+//! Invariant: at most one read is open; failures are retried with jittered exponential backoff.
 
 use super::settings::SpreadSettings;
 use super::state::StoreState;
@@ -15,14 +15,14 @@
     pub(super) hold: bool,
 }
 
-/// Reading of the store by this daemon.
+/// State of this daemon's reads of the store.
 #[derive(Debug)]
 pub(super) struct StoreReader {
     active: bool,
     open: Option<StoreRead>,
     next_read: Moment,
     next_full_read: Moment,
-    /// Revision up to which the store was read; none before the first answer.
+    /// Revision up to which the store was read; `None` before the first answer.
     position: Option<u64>,
     failures: u32,
     state: StoreState,
@@ -49,7 +49,7 @@
         self.active
     }
 
-    /// Begins to read after `delay`.
+    /// Starts reading after `delay`.
     pub(super) fn start(&mut self, now: Moment, delay: Duration) {
         self.active = true;
         self.position = None;
@@ -59,7 +59,7 @@
         self.next_full_read = now;
     }
 
-    /// Stops reading; true if a read was open.
+    /// Stops reading; returns whether a read was open.
     pub(super) fn stop(&mut self) -> bool {
         self.active = false;
         self.state = StoreState::NotReading;
@@ -70,7 +70,7 @@
         (self.active && self.open.is_none()).then_some(self.next_read)
     }
 
-    /// The read that is due now, if any.
+    /// The read that is due now, if any, marked as open.
     pub(super) fn take_due(
         &mut self,
         now: Moment,
@@ -99,7 +99,7 @@
         Some(read)
     }
 
-    /// Ends the open read if it is the one asked for; false for any other.
+    /// Closes the open read if its `after` is this one; returns whether it was.
     pub(super) fn finish(&mut self, after: u64) -> bool {
         let matches = self.open.is_some_and(|read| read.after == after);
         if matches {
@@ -108,8 +108,9 @@
         matches
     }
 
-    /// The store answered with its revision; `held` is what the replica holds after applying it.
-    pub(super) fn succeeded(
+    /// Handles an answer with the store's revision; `held` is the replica's revision after applying
+    /// the answer.
+    pub(super) fn on_success(
         &mut self,
         now: Moment,
         store_revision: u64,
@@ -118,8 +119,8 @@
         random: &mut impl Rng,
     ) {
         if self.failures > 0 {
-            let spread = settings.recovery_spread.mul_f64(random.random());
-            self.next_full_read = self.next_full_read.min(now + spread);
+            let delay = settings.recovery_spread.mul_f64(random.random());
+            self.next_full_read = self.next_full_read.min(now + delay);
         }
         self.failures = 0;
         if self
@@ -137,19 +138,19 @@
         self.next_read = self.next_read.max(now);
     }
 
-    /// The read failed.
-    pub(super) fn failed(
+    /// Handles a failed read.
+    pub(super) fn on_failure(
         &mut self,
         now: Moment,
         error: String,
         settings: &SpreadSettings,
         random: &mut impl Rng,
     ) {
-        const DOUBLINGS: u32 = 10;
-        let factor = 2_u32.pow(self.failures.min(DOUBLINGS));
+        const MAXIMUM_DOUBLINGS: u32 = 10;
+        let factor = 2_u32.pow(self.failures.min(MAXIMUM_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
-        let wait = (settings.store_retry * factor).min(settings.store_retry_limit);
-        self.next_read = now + wait.mul_f64(random.random_range(0.5..1.5));
+        let backoff = (settings.store_retry * factor).min(settings.store_retry_limit);
+        self.next_read = now + backoff.mul_f64(random.random_range(0.5..1.5));
         self.state = StoreState::Failing { error };
     }
 }
--- a/crates/tansylead-cluster/tests/common/fuzz.rs
+++ b/crates/tansylead-cluster/tests/common/fuzz.rs
@@ -1,10 +1,10 @@
-//! Settings of property tests that can also be run longer by hand.
+//! Configuration of property tests that can also be run for longer by hand.
 
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
 
-/// Settings of a property test: fixed seed and cases, or those of `FUZZ_SEED` and `FUZZ_CASES`
-/// for other and longer series.
+/// Configuration of a property test. Seed and number of cases are fixed unless `FUZZ_SEED` and
+/// `FUZZ_CASES` override them.
 pub fn fuzz_config(default_cases: u32) -> ProptestConfig {
     const DEFAULT_SEED: u64 = 7;
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
--- a/crates/tansylead-cluster/tests/common/mod.rs
+++ b/crates/tansylead-cluster/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! A simulated network of daemons under virtual time: membership and spread over the real codec,
-//! with loss, duplication, delay, cuts between places, suspended, killed and restarted daemons,
-//! and a store that fails or is restored from a backup.
+//! A simulated network of daemons in virtual time: membership and spread over the real codec, with
+//! packet loss, duplication, delay, partitions between places, suspended, killed and restarted
+//! daemons, and a store that fails or is restored from a backup.
 //!
-//! The oracle is the set of writes the store accepted; it is checked at every application.
+//! The oracle is the set of writes that the store accepted; every applied change is checked against
+//! it.
 
 #![allow(dead_code)]
 
@@ -29,7 +30,7 @@
     Duration::from_secs(count)
 }
 
-/// A write without contents; `tag` makes it recognisable.
+/// A write without contents; `tag` identifies it.
 pub fn write_of(key: ObjectKey, generation: u64, revision: u64, tag: u64) -> StoredObject {
     StoredObject {
         key,
@@ -40,7 +41,7 @@
     }
 }
 
-/// The platform's store.
+/// The simulated configuration store.
 #[derive(Clone, Default)]
 pub struct Store {
     pub objects: BTreeMap<ObjectKey, StoredObject>,
@@ -60,7 +61,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum Event {
     Wakeup,
     Packet {
         from: SocketAddr,
@@ -99,20 +100,20 @@
     pub sent_bytes: u64,
     pub largest_packet: usize,
     pub replies: Vec<(Sequence, InstanceId, ConfigDigest)>,
-    held: BTreeMap<ObjectKey, u64>,
+    held_generations: BTreeMap<ObjectKey, u64>,
     revision: u64,
-    planned: Option<Moment>,
-    inbox: Vec<Happening>,
+    scheduled_wakeup: Option<Moment>,
+    inbox: Vec<Event>,
 }
 
-/// What goes wrong on the network.
+/// Network faults in effect.
 #[derive(Clone, Default)]
 pub struct Faults {
     pub loss: f64,
     pub duplication: f64,
     pub extra_delay_micros: u64,
     pub cuts: BTreeSet<(PlaceName, PlaceName)>,
-    /// Pairs of daemons that cannot reach each other.
+    /// Pairs of daemons whose link is cut.
     pub links: BTreeSet<(NodeId, NodeId)>,
 }
 
@@ -125,15 +126,15 @@
     pub packet_errors: u64,
     pub seeds: Vec<NodeId>,
     indexes: BTreeMap<NodeId, usize>,
-    agenda: BinaryHeap<Reverse<(Moment, u64, usize, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    queue: BinaryHeap<Reverse<(Moment, u64, usize, u64)>>,
+    events: BTreeMap<u64, Event>,
     next_id: u64,
     random: Xoshiro256PlusPlus,
     codec: GossipCodec,
 }
 
 impl Simulation {
-    /// `places` places of `size` daemons each, in two zones; all start within two seconds.
+    /// Starts `places` places of `size` daemons each within two seconds.
     pub fn new(seed: u64, places: usize, size: usize) -> Self {
         Self::with_store(seed, places, size, Store::default())
     }
@@ -148,8 +149,8 @@
             packet_errors: 0,
             seeds: Vec::new(),
             indexes: BTreeMap::new(),
-            agenda: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
             next_id: 0,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             codec: GossipCodec::new("simulated"),
@@ -175,7 +176,7 @@
     fn add(&mut self, node: NodeId, place: PlaceName) {
         let boot = 1;
         self.indexes.insert(node, self.daemons.len());
-        let (membership, spread) = self.machines(node, &place, boot);
+        let (membership, spread) = self.state_machines(node, &place, boot);
         self.daemons.push(Daemon {
             node,
             place,
@@ -188,15 +189,15 @@
             sent_bytes: 0,
             largest_packet: 0,
             replies: Vec::new(),
-            held: BTreeMap::new(),
+            held_generations: BTreeMap::new(),
             revision: 0,
-            planned: None,
+            scheduled_wakeup: None,
             inbox: Vec::new(),
         });
-        self.plan_wakeup(self.daemons.len() - 1);
+        self.schedule_wakeup(self.daemons.len() - 1);
     }
 
-    fn machines(
+    fn state_machines(
         &mut self,
         node: NodeId,
         place: &PlaceName,
@@ -224,28 +225,28 @@
 
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
-        while let Some(Reverse((at, id, index, boot))) = self.agenda.peek().copied() {
+        while let Some(Reverse((at, id, index, boot))) = self.queue.peek().copied() {
             if at > end {
                 break;
             }
-            self.agenda.pop();
+            self.queue.pop();
             self.now = self.now.max(at);
-            let happening = self.happenings.remove(&id).unwrap();
+            let event = self.events.remove(&id).unwrap();
             let daemon = &mut self.daemons[index];
-            let is_packet = matches!(happening, Happening::Packet { .. });
+            let is_packet = matches!(event, Event::Packet { .. });
             if !daemon.running || (daemon.boot != boot && !is_packet) {
                 continue;
             }
             if daemon.frozen {
-                daemon.inbox.push(happening);
+                daemon.inbox.push(event);
             } else {
-                self.happen(index, happening);
+                self.handle(index, event);
             }
         }
         self.now = end;
     }
 
-    /// Runs until the condition holds; panics with `what` if it does not within `limit`.
+    /// Runs until the condition holds and returns the time taken; panics with `what` after `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -269,21 +270,21 @@
         self.daemons[index].inbox.clear();
     }
 
-    /// Starts the daemon anew at the same address, with nothing kept.
+    /// Restarts the daemon at the same address, without any state.
     pub fn restart(&mut self, index: usize) {
         self.kill(index);
         let (node, place) = (self.daemons[index].node, self.daemons[index].place.clone());
         let boot = self.daemons[index].boot + 1;
-        let (membership, spread) = self.machines(node, &place, boot);
+        let (membership, spread) = self.state_machines(node, &place, boot);
         let daemon = &mut self.daemons[index];
         daemon.boot = boot;
         daemon.membership = membership;
         daemon.spread = spread;
         daemon.running = true;
-        daemon.held.clear();
+        daemon.held_generations.clear();
         daemon.revision = 0;
-        daemon.planned = None;
-        self.plan_wakeup(index);
+        daemon.scheduled_wakeup = None;
+        self.schedule_wakeup(index);
     }
 
     pub fn freeze(&mut self, index: usize) {
@@ -292,8 +293,8 @@
 
     pub fn resume(&mut self, index: usize) {
         self.daemons[index].frozen = false;
-        for happening in std::mem::take(&mut self.daemons[index].inbox) {
-            self.happen(index, happening);
+        for event in std::mem::take(&mut self.daemons[index].inbox) {
+            self.handle(index, event);
         }
     }
 
@@ -327,30 +328,30 @@
     pub fn event(&mut self, index: usize, event: MembershipEvent) {
         let actions = self.daemons[index].membership.on_event(self.now, event);
         self.perform(index, actions);
-        self.plan_wakeup(index);
+        self.schedule_wakeup(index);
     }
 
     pub fn query(&mut self, index: usize, to: NodeId, sequence: Sequence) {
         self.event(index, MembershipEvent::QueryRevision { to, sequence });
     }
 
-    /// A datagram from anywhere.
+    /// Delivers a datagram from any source address.
     pub fn inject(&mut self, index: usize, from: SocketAddr, bytes: Vec<u8>) {
-        self.happen(index, Happening::Packet { from, bytes });
+        self.handle(index, Event::Packet { from, bytes });
     }
 
     pub fn running(&self) -> impl Iterator<Item = &Daemon> {
         self.daemons.iter().filter(|daemon| daemon.running)
     }
 
-    /// Whether every running daemon sees exactly the running daemons, with their present boots.
+    /// Whether every running daemon sees exactly the running daemons, with their current boots.
     pub fn members_agree(&self) -> bool {
-        let truth: BTreeMap<NodeId, u64> = self.running().map(|d| (d.node, d.boot)).collect();
+        let expected: BTreeMap<NodeId, u64> = self.running().map(|d| (d.node, d.boot)).collect();
         self.running().all(|daemon| {
             let seen = daemon.membership.members();
             let seen = seen.filter(|member| member.state.takes_work());
             let seen: BTreeMap<NodeId, u64> = seen.map(|m| (m.node(), m.instance.boot)).collect();
-            seen == truth && daemon.membership.is_joined()
+            seen == expected && daemon.membership.is_joined()
         })
     }
 
@@ -375,45 +376,48 @@
         digests.len() == 1 && self.running().all(|d| d.spread.replica().is_complete())
     }
 
-    fn schedule(&mut self, at: Moment, index: usize, boot: u64, happening: Happening) {
+    fn schedule(&mut self, at: Moment, index: usize, boot: u64, event: Event) {
         let id = self.next_id;
         self.next_id += 1;
-        self.happenings.insert(id, happening);
-        self.agenda.push(Reverse((at, id, index, boot)));
+        self.events.insert(id, event);
+        self.queue.push(Reverse((at, id, index, boot)));
     }
 
-    fn plan_wakeup(&mut self, index: usize) {
+    fn schedule_wakeup(&mut self, index: usize) {
         let daemon = &mut self.daemons[index];
         let due = [daemon.membership.next_wakeup(), daemon.spread.next_wakeup()];
         let Some(due) = due.into_iter().flatten().min() else {
             return;
         };
-        if daemon.planned.is_none_or(|planned| due < planned) {
-            daemon.planned = Some(due);
+        if daemon
+            .scheduled_wakeup
+            .is_none_or(|scheduled| due < scheduled)
+        {
+            daemon.scheduled_wakeup = Some(due);
             let boot = daemon.boot;
-            self.schedule(due.max(self.now), index, boot, Happening::Wakeup);
+            self.schedule(due.max(self.now), index, boot, Event::Wakeup);
         }
     }
 
-    fn happen(&mut self, index: usize, happening: Happening) {
-        match happening {
-            Happening::Wakeup => {
-                self.daemons[index].planned = None;
+    fn handle(&mut self, index: usize, event: Event) {
+        match event {
+            Event::Wakeup => {
+                self.daemons[index].scheduled_wakeup = None;
                 let actions = self.daemons[index]
                     .membership
                     .on_event(self.now, MembershipEvent::Wakeup);
                 self.perform(index, actions);
                 self.spread_event(index, SpreadEvent::Wakeup);
             }
-            Happening::Packet { from, bytes } => match self.codec.decode(&bytes) {
+            Event::Packet { from, bytes } => match self.codec.decode(&bytes) {
                 Ok(packet) => {
                     let packet = Box::new(packet);
                     self.event(index, MembershipEvent::Packet { from, packet });
                 }
                 Err(_) => self.packet_errors += 1,
             },
-            Happening::PullRequest { from, boot, after } => self.serve(index, from, boot, after),
-            Happening::PullReply {
+            Event::PullRequest { from, boot, after } => self.serve(index, from, boot, after),
+            Event::PullReply {
                 peer,
                 after,
                 result,
@@ -427,14 +431,14 @@
                     },
                 );
             }
-            Happening::StoreRequest { after, hold, until } => {
+            Event::StoreRequest { after, hold, until } => {
                 self.serve_store(index, after, hold, until);
             }
-            Happening::StoreReply { after, result } => {
+            Event::StoreReply { after, result } => {
                 self.spread_event(index, SpreadEvent::StoreRead { after, result });
             }
         }
-        self.plan_wakeup(index);
+        self.schedule_wakeup(index);
     }
 
     fn serve(&mut self, index: usize, from: usize, boot: u64, after: u64) {
@@ -446,7 +450,7 @@
             at,
             from,
             boot,
-            Happening::PullReply {
+            Event::PullReply {
                 peer,
                 after,
                 result,
@@ -459,7 +463,7 @@
         if hold && !changed && !self.store.down && self.now < until {
             let at = self.now + Duration::from_millis(20);
             let boot = self.daemons[index].boot;
-            let request = Happening::StoreRequest { after, hold, until };
+            let request = Event::StoreRequest { after, hold, until };
             return self.schedule(at, index, boot, request);
         }
         let result = if self.store.down {
@@ -507,7 +511,7 @@
                     let at = self.now + Duration::from_millis(2);
                     let boot = self.daemons[index].boot;
                     let until = at + HOLD_LIMIT;
-                    let request = Happening::StoreRequest { after, hold, until };
+                    let request = Event::StoreRequest { after, hold, until };
                     self.schedule(at, index, boot, request);
                 }
                 SpreadAction::StopReading => {}
@@ -522,7 +526,7 @@
         }
     }
 
-    /// The oracle: only accepted writes are applied, and nothing ever goes back.
+    /// The oracle: only accepted writes are applied, and no generation or revision decreases.
     fn check_applied(&mut self, index: usize, keys: &[ObjectKey], digest: ConfigDigest) {
         let daemon = &mut self.daemons[index];
         assert!(digest.revision >= daemon.revision, "revision went down");
@@ -531,7 +535,9 @@
             let object = daemon.spread.replica().get(key).unwrap();
             let write = (key.clone(), object.generation, object.change.clone());
             assert!(self.accepted.contains(&write), "never accepted: {object:?}");
-            let before = daemon.held.insert(key.clone(), object.generation);
+            let before = daemon
+                .held_generations
+                .insert(key.clone(), object.generation);
             assert!(
                 before.unwrap_or(0) <= object.generation,
                 "generation went down"
@@ -544,9 +550,9 @@
         let target = self.indexes.get(&peer).copied();
         match target.filter(|target| self.connected(index, *target)) {
             Some(target) => {
-                // Connection and request: three one-way delays; then the answer.
+                // Connection setup and request take three one-way delays.
                 let at = self.now + self.delay(index, target) * 3;
-                let request = Happening::PullRequest {
+                let request = Event::PullRequest {
                     from: index,
                     boot,
                     after,
@@ -561,7 +567,7 @@
                     at,
                     index,
                     boot,
-                    Happening::PullReply {
+                    Event::PullReply {
                         peer,
                         after,
                         result,
@@ -608,7 +614,7 @@
             }
             let at = self.now + self.delay(index, target);
             let boot = self.daemons[target].boot;
-            let packet = Happening::Packet {
+            let packet = Event::Packet {
                 from,
                 bytes: bytes.clone(),
             };
--- a/crates/tansylead-cluster/tests/feed_tree.rs
+++ b/crates/tansylead-cluster/tests/feed_tree.rs
@@ -35,16 +35,16 @@
     (0..count).map(member).collect()
 }
 
-/// Steps from a member to a reader; panics if the way is longer than the tree has members.
+/// Steps from a member to a reader; panics if there are more than the tree has members.
 fn depth(tree: &FeedTree, member: NodeId, count: usize) -> usize {
-    let mut at = member;
+    let mut current = member;
     for steps in 0..=count {
-        match tree.sources(at).parent {
+        match tree.sources(current).parent {
             None => return steps,
-            Some(parent) => at = parent,
+            Some(parent) => current = parent,
         }
     }
-    panic!("parents of {member} form a circle");
+    panic!("parents of {member} form a cycle");
 }
 
 #[test]
@@ -81,12 +81,12 @@
 
 #[test]
 fn the_depth_grows_with_the_logarithm_of_the_size() {
-    for (count, longest) in [(9, 1), (73, 2), (585, 3), (2_000, 4)] {
+    for (count, expected_depth) in [(9, 1), (73, 2), (585, 3), (2_000, 4)] {
         let members = members(count);
         let tree = tree(&members, 1);
         let depths = members.iter();
         let deepest = depths.map(|member| depth(&tree, member.node(), members.len()));
-        assert_eq!(deepest.max(), Some(longest), "{count} members");
+        assert_eq!(deepest.max(), Some(expected_depth), "{count} members");
     }
 }
 
--- a/crates/tansylead-cluster/tests/membership.rs
+++ b/crates/tansylead-cluster/tests/membership.rs
@@ -11,14 +11,14 @@
 const PLACES: usize = 5;
 const SIZE: usize = 9;
 
-/// `PLACES` x `SIZE` daemons that see one another.
-fn settled(seed: u64) -> Simulation {
+/// `PLACES` x `SIZE` daemons, all of which see each other.
+fn converged(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed, PLACES, SIZE);
     simulation.run_until(seconds(60), "all join", Simulation::members_agree);
     simulation
 }
 
-/// Whether all running daemons but the subject hold this state about it.
+/// Whether all running daemons other than the subject see it in this state.
 fn all_see(simulation: &Simulation, subject: usize, state: MemberState) -> bool {
     let viewers = 0..simulation.daemons.len();
     viewers
@@ -37,7 +37,7 @@
 
 #[test]
 fn killed_member_is_declared_failed_everywhere_and_nobody_else_is() {
-    let mut simulation = settled(1);
+    let mut simulation = converged(1);
     simulation.kill(7);
     simulation.run_until(seconds(30), "failure known", |simulation| {
         all_see(simulation, 7, MemberState::Failed)
@@ -48,7 +48,7 @@
 
 #[test]
 fn suspected_member_refutes() {
-    let mut simulation = settled(2);
+    let mut simulation = converged(2);
     simulation.freeze(9);
     simulation.run_until(seconds(10), "suspected", |simulation| {
         any_sees(simulation, 9, MemberState::Suspect)
@@ -63,7 +63,7 @@
 
 #[test]
 fn leaving_member_says_so_itself() {
-    let mut simulation = settled(3);
+    let mut simulation = converged(3);
     simulation.event(11, MembershipEvent::Leave);
     simulation.run_until(seconds(5), "leaving known", |simulation| {
         all_see(simulation, 11, MemberState::Leaving)
@@ -77,14 +77,14 @@
 
 #[test]
 fn restart_at_the_same_address_replaces_the_earlier_run() {
-    let mut simulation = settled(4);
+    let mut simulation = converged(4);
     simulation.restart(13);
     simulation.run_until(seconds(30), "new run known", Simulation::members_agree);
 }
 
 #[test]
 fn frozen_member_that_resumes_is_alive_again_and_blames_nobody() {
-    let mut simulation = settled(5);
+    let mut simulation = converged(5);
     simulation.freeze(17);
     simulation.run_until(seconds(30), "failure known", |simulation| {
         all_see(simulation, 17, MemberState::Failed)
@@ -92,14 +92,14 @@
     simulation.run(seconds(60));
     simulation.resume(17);
     assert_eq!(count_seen(&simulation, 17, MemberState::Failed), 0);
-    // Sooner than a comparison of tables would tell it.
+    // Earlier than a comparison of tables would show it.
     simulation.run_until(seconds(8), "alive again", Simulation::members_agree);
     assert!(simulation.daemons[17].membership.counters().pauses > 0);
 }
 
 #[test]
 fn regions_parted_for_minutes_keep_their_members_and_rejoin() {
-    let mut simulation = settled(6);
+    let mut simulation = converged(6);
     for place in 1..PLACES {
         simulation.cut(0, place);
     }
@@ -107,7 +107,7 @@
     let other = PlaceName::new("place-1").unwrap();
     assert!(!simulation.daemons[0].membership.is_reachable(&other));
     assert_eq!(count_seen(&simulation, 0, MemberState::Failed), 0);
-    // Daemons 1 and 0 are of different places; each fails unseen by the other side.
+    // One member of each side fails; the other side cannot see it.
     simulation.kill(1 + PLACES);
     simulation.kill(PLACES);
     simulation.run(seconds(120));
@@ -122,10 +122,10 @@
     });
 }
 
-/// Most machines of the list run leafs or nothing.
+/// Most machines in the list run no daemon.
 #[test]
 fn daemon_without_seeds_joins_through_the_machine_list() {
-    let mut simulation = settled(16);
+    let mut simulation = converged(16);
     let mut machines: Vec<Machine> = (0..200)
         .map(|index| ([10, 99, 0, index], 80).into())
         .map(|address| Machine {
@@ -144,10 +144,10 @@
     simulation.run_until(seconds(60), "joined", Simulation::members_agree);
 }
 
-/// It blames everyone in its place, and must find them again by itself.
+/// An isolated member declares all members of its place failed, and must find them again by itself.
 #[test]
 fn isolated_member_comes_back_soon_after_its_link_does() {
-    let mut simulation = settled(13);
+    let mut simulation = converged(13);
     for other in 0..simulation.daemons.len() {
         simulation.cut_link(4, other);
     }
@@ -157,7 +157,7 @@
     simulation.run_until(seconds(20), "back", Simulation::members_agree);
 }
 
-/// No other place and no seed is left through which the halves could find each other.
+/// The halves have no other place and no running seed through which they could find each other.
 #[test]
 fn halves_of_the_only_place_rejoin() {
     let mut simulation = Simulation::new(15, 1, 9);
@@ -174,10 +174,10 @@
     simulation.run_until(seconds(60), "rejoined", Simulation::members_agree);
 }
 
-/// Daemons go on asking a seed that is gone for good; they must compare tables all the same.
+/// Repeated summary requests to a permanently lost seed must not block the comparison of tables.
 #[test]
 fn dead_seed_does_not_stop_the_comparison_of_tables() {
-    let mut simulation = settled(17);
+    let mut simulation = converged(17);
     simulation.kill(0);
     simulation.run_until(seconds(60), "seed gone", Simulation::members_agree);
     for place in 1..PLACES {
@@ -191,7 +191,7 @@
 
 #[test]
 fn broken_link_between_two_members_makes_neither_suspect() {
-    let mut simulation = settled(14);
+    let mut simulation = converged(14);
     simulation.cut_link(3, 3 + PLACES);
     for _ in 0..300 {
         simulation.run(seconds(1) / 5);
@@ -214,7 +214,7 @@
 
 #[test]
 fn third_of_a_place_lost_at_once() {
-    let mut simulation = settled(8);
+    let mut simulation = converged(8);
     for index in 0..SIZE / 3 {
         simulation.kill(2 + index * PLACES);
     }
@@ -223,7 +223,7 @@
 
 #[test]
 fn lossy_slow_network_converges_after_it_heals() {
-    let mut simulation = settled(9);
+    let mut simulation = converged(9);
     simulation.faults.loss = 0.2;
     simulation.faults.duplication = 0.2;
     simulation.faults.extra_delay_micros = 300_000;
@@ -236,7 +236,7 @@
 fn steady_state_stays_within_its_rate() {
     const BYTES_PER_SECOND_LIMIT: u64 = 4_000;
     const SAMPLE_SECONDS: u64 = 30;
-    let mut simulation = settled(10);
+    let mut simulation = converged(10);
     simulation.run(seconds(30));
     let before: Vec<u64> = simulation.daemons.iter().map(|d| d.sent_bytes).collect();
     simulation.run(seconds(SAMPLE_SECONDS));
@@ -252,7 +252,7 @@
 
 #[test]
 fn foreign_packets_are_counted_and_dropped() {
-    let mut simulation = settled(11);
+    let mut simulation = converged(11);
     let mut sender = simulation.daemons[0].membership.local().clone();
     sender.instance.node.0.set_port(9_999);
     let from = sender.instance.node.0;
@@ -279,8 +279,8 @@
     assert!(simulation.members_agree());
 }
 
-/// Two runs at one address, as after a clock that went back or an address that moved: the one
-/// with the lower boot is told and must stop.
+/// Two runs share an address, as after a clock that went back or an address that moved: the run with
+/// the lower boot must be told that it was replaced.
 #[test]
 fn earlier_run_finds_itself_replaced() {
     let local = |port: u16, boot: u64| LocalMember {
@@ -327,7 +327,7 @@
     packets.collect()
 }
 
-/// Packets stay within the size limit also with the longest names and addresses.
+/// Packets stay within the size limit even with the longest names and addresses.
 #[test]
 fn longest_names_fit_into_packets() {
     let long = |text: &str, number: u16| format!("{}{number:04}", text.repeat(60));
@@ -376,12 +376,13 @@
     }
 }
 
-/// Nobody refutes having left: telling one another about it must not go on for ever.
+/// A member that left does not refute its record, so corrections sent between such members must not
+/// repeat without end.
 #[test]
 fn members_that_have_left_but_still_run_do_not_flood_each_other() {
     const SAMPLE_SECONDS: u64 = 10;
     const BYTES_PER_SECOND_LIMIT: u64 = 4_000;
-    let mut simulation = settled(12);
+    let mut simulation = converged(12);
     simulation.event(3, MembershipEvent::Exit);
     simulation.event(3 + PLACES, MembershipEvent::Exit);
     simulation.run(seconds(3));
@@ -394,7 +395,7 @@
     assert!(rate < BYTES_PER_SECOND_LIMIT, "{rate} B/s per daemon");
 }
 
-/// The machine list names many more leafs than daemons, and leafs never answer.
+/// The machine list holds many more leafs than daemons, and leafs never answer pings.
 #[test]
 fn leafs_in_the_machine_list_do_not_hold_up_joining() {
     let mut simulation = Simulation::new(11, 3, 2);
--- a/crates/tansylead-cluster/tests/replica_model.rs
+++ b/crates/tansylead-cluster/tests/replica_model.rs
@@ -1,6 +1,6 @@
-//! `ConfigReplica` against a model: whatever lists of a store that is written, backed up and
-//! restored arrive in whatever order, the newest version of each object is held. A replica that
-//! takes the last value it sees must fail the same run.
+//! `ConfigReplica` against a model: whichever lists of a store that is written, backed up and restored
+//! arrive, and in whichever order, the replica holds the newest version of each object. A replica
+//! that keeps the last value received must fail the same test.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -19,7 +19,7 @@
     revision: u64,
 }
 
-/// The model: the store, lists read from it, and what a replica that got lists must hold.
+/// The model: the store, the lists read from it, and what a replica that received them must hold.
 #[derive(Debug, Clone, Default)]
 struct Model {
     store: Store,
@@ -35,9 +35,9 @@
     Write(u8),
     Backup,
     Restore,
-    /// Read everything after this revision; the list is delivered at once and kept.
+    /// Read everything after this revision; the list is delivered at once and kept for `Repeat`.
     Read(u64),
-    /// Deliver a list read earlier once more.
+    /// Deliver an earlier list again.
     Repeat(usize),
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-/// What is tested: the replica, or a broken variant of it.
+/// The system under test: the replica, or a broken variant of it.
 trait Replica: Default + std::fmt::Debug {
     fn take(&mut self, after: u64, list: ObjectList);
     fn held(&self) -> BTreeMap<ObjectKey, StoredObject>;
@@ -145,7 +145,7 @@
         ConfigReplica::revision(self)
     }
 
-    /// A new daemon that pulls everything ends with the same digest.
+    /// A new replica that applies everything ends with the same digest.
     fn check(&self) {
         let mut copy = ConfigReplica::new();
         copy.apply(0, self.delta_after(0)).unwrap();
@@ -153,7 +153,7 @@
     }
 }
 
-/// Broken: takes whatever it saw last.
+/// Broken variant that keeps the last value received.
 #[derive(Debug, Default)]
 struct LastSeenReplica {
     objects: BTreeMap<ObjectKey, StoredObject>,
--- a/crates/tansylead-cluster/tests/spread.rs
+++ b/crates/tansylead-cluster/tests/spread.rs
@@ -1,5 +1,5 @@
-//! Spread of configuration under simulated faults. The simulation checks at every application
-//! that only accepted writes are applied and that no generation or revision goes down.
+//! Spread of configuration under simulated faults. The simulation checks every applied change: only
+//! accepted writes are applied, and no generation or revision decreases.
 
 mod common;
 
@@ -26,7 +26,8 @@
     simulation
 }
 
-/// Announcements carry a change; digests on the packets of membership alone take longer.
+/// Announcements are needed for this: the digests on membership packets alone spread a change more
+/// slowly.
 #[test]
 fn change_reaches_every_daemon_within_a_second() {
     let mut simulation = Simulation::new(1, PLACES, 24);
@@ -101,7 +102,7 @@
     assert!(simulation.running().any(|daemon| {
         *daemon.spread.store_state() == StoreState::Behind { store_revision: 1 }
     }));
-    // Written again, the store first repeats generations and then overtakes them.
+    // New writes first reuse generations that daemons hold, and then exceed them.
     for tag in 10..=20 {
         simulation.write(tag);
         simulation.run(seconds(1));
@@ -120,8 +121,8 @@
     ObjectKey::Service(ServiceName::new(name).unwrap())
 }
 
-/// A restored store gives revisions again that daemons already hold: what was written under them
-/// would not appear in a list of changes.
+/// A restored store reuses revisions that daemons already hold, so new writes at these revisions do
+/// not appear in a list of changes.
 #[test]
 fn new_object_of_a_restored_store_is_found_below_the_revision_held() {
     let mut simulation = ready(9);
@@ -256,7 +257,7 @@
     assert_eq!(report.missing, vec![simulation.daemons[8].node]);
 }
 
-/// The oracle must notice a write that was never accepted.
+/// The oracle must detect a write that was never accepted.
 #[test]
 #[should_panic(expected = "never accepted")]
 fn oracle_notices_an_object_nobody_wrote() {
@@ -267,12 +268,12 @@
     simulation.run(seconds(10));
 }
 
-/// A node of a network of its own.
+/// Address of a node in one of several networks.
 fn node_of(network: u8, number: u8) -> NodeId {
     NodeId(([10, 0, network, number], 7_000).into())
 }
 
-/// A daemon that has joined and holds nothing.
+/// A daemon that has joined and holds no configuration.
 fn empty_machine(now: Moment, number: u8) -> SpreadMachine {
     let local = LocalMember {
         instance: InstanceId {
@@ -288,8 +289,8 @@
     SpreadMachine::new(now, local, true, settings, u64::from(number))
 }
 
-/// Tells a machine that a holder has revision 4; the peer it then pulls from.
-fn hear_of_holder(machine: &mut SpreadMachine, now: Moment, peer: NodeId) -> Option<NodeId> {
+/// Reports to a machine that a peer holds revision 4; returns the peer that it then pulls from.
+fn report_holder(machine: &mut SpreadMachine, now: Moment, peer: NodeId) -> Option<NodeId> {
     let digest = ConfigDigest {
         revision: 4,
         hash: 4,
@@ -304,7 +305,7 @@
     })
 }
 
-/// Daemons that start together hear of the same holders; they must not all ask the same one.
+/// Daemons that start together learn of the same holders; they must not all pull from the same one.
 #[test]
 fn daemons_that_start_together_pull_from_many_holders() {
     const DAEMONS: u8 = 40;
@@ -314,9 +315,9 @@
     for number in 1..=DAEMONS {
         let mut machine = empty_machine(now, number);
         for holder in 1..=HOLDERS {
-            hear_of_holder(&mut machine, now, node_of(1, holder));
+            report_holder(&mut machine, now, node_of(1, holder));
         }
-        // The first holder heard of was asked; when that fails there is a choice.
+        // The first pull goes to the first holder reported; after it fails there is a choice.
         let failed = SpreadEvent::PullFinished {
             peer: node_of(1, 1),
             after: 0,
@@ -331,16 +332,16 @@
     );
 }
 
-/// Giving up megabytes that are on their way only adds to what slows them.
+/// Giving up a transfer of megabytes too early only adds load to the network that slows it.
 #[test]
 fn pull_of_everything_is_given_more_time_than_a_pull_of_changes() {
     let settings = SpreadSettings::default();
     let start = Moment::from_millis(1);
     let mut machine = empty_machine(start, 1);
-    let first = hear_of_holder(&mut machine, start, node_of(1, 1));
+    let first = report_holder(&mut machine, start, node_of(1, 1));
     assert_eq!(first, Some(node_of(1, 1)));
     let later = start + settings.pull_timeout + Duration::from_millis(1);
-    assert_eq!(hear_of_holder(&mut machine, later, node_of(1, 2)), None);
+    assert_eq!(report_holder(&mut machine, later, node_of(1, 2)), None);
     let late = start + settings.full_pull_timeout;
     let wakeup = machine.on_event(late, SpreadEvent::Wakeup);
     assert_eq!(pulled_from(&wakeup), Some(node_of(1, 2)));
--- a/crates/tansylead-cluster/tests/system.rs
+++ b/crates/tansylead-cluster/tests/system.rs
@@ -1,6 +1,6 @@
-//! Whole clusters under random faults, singly and several at once. While faults last, the
-//! simulation checks every application of configuration against the accepted writes; once they
-//! stop, members and configuration must converge.
+//! Whole clusters under random faults, one or several at a time. During the faults the simulation
+//! checks every applied change against the accepted writes; after them, members and configuration
+//! must converge.
 
 mod common;
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// Ends all faults: heals the network, resumes the frozen, restarts the killed and the leaving.
+/// Ends all faults: heals the network, resumes frozen daemons, and restarts killed and leaving ones.
 fn stop_faults(simulation: &mut Simulation) {
     simulation.faults = Faults::default();
     simulation.store.down = false;
@@ -113,12 +113,12 @@
     }
     stop_faults(&mut simulation);
     simulation.run_until(seconds(180), "members agree", Simulation::members_agree);
-    // A write just before the faults stopped may still be on its way when all agree without it.
+    // All may agree before a write made just before the faults stopped has reached any daemon.
     let revision = simulation.store.revision;
     simulation.run_until(seconds(120), "digests agree", |simulation| {
         simulation.digests_agree() && simulation.all_hold(revision)
     });
-    // A store that was never restored from a backup is what everyone must hold.
+    // If the store was never restored from a backup, daemons must hold exactly its objects.
     let restored = |(fault, _): &(Fault, u64)| matches!(fault, Fault::StoreRestore);
     if !faults.iter().any(restored) {
         let stored: Vec<_> = simulation.store.objects.values().collect();
@@ -127,7 +127,7 @@
     }
 }
 
-/// Some waits are zero: two faults at once.
+/// Faults with the wait after each; a wait of zero makes two faults simultaneous.
 fn schedule(length: usize) -> impl Strategy<Value = Vec<(Fault, u64)>> {
     let wait = prop_oneof![Just(0), 100_u64..8_000];
     proptest::collection::vec((fault(), wait), length)
