--- a/crates/tansylead-cluster/src/membership/joining.rs
+++ b/crates/tansylead-cluster/src/membership/joining.rs
@@ -50,10 +50,10 @@
         }
         let delay = match std::mem::replace(&mut self.sync.step, SyncStep::Idle) {
             SyncStep::Idle => self.begin_sync(now, actions),
-            SyncStep::Summary { peer, asked } => {
-                let waited = now.since(asked);
+            SyncStep::Summary { peer, requested_at } => {
+                let waited = now.since(requested_at);
                 if waited < self.settings.join_period {
-                    self.sync.step = SyncStep::Summary { peer, asked };
+                    self.sync.step = SyncStep::Summary { peer, requested_at };
                     self.settings.join_period - waited
                 } else {
                     self.begin_sync(now, actions)
@@ -96,7 +96,10 @@
         let Some(peer) = peer else {
             return;
         };
-        self.sync.step = SyncStep::Summary { peer, asked: now };
+        self.sync.step = SyncStep::Summary {
+            peer,
+            requested_at: now,
+        };
         self.send(now, peer, GossipMessage::SummaryRequest, actions);
     }
 
@@ -176,7 +179,9 @@
     fn is_idle(&self, now: Moment) -> bool {
         match &self.sync.step {
             SyncStep::Idle => true,
-            SyncStep::Summary { asked, .. } => now.since(*asked) > self.settings.join_period,
+            SyncStep::Summary { requested_at, .. } => {
+                now.since(*requested_at) > self.settings.join_period
+            }
             SyncStep::Pages(_) => false,
         }
     }
@@ -198,7 +203,9 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         match self.sync.step {
-            SyncStep::Summary { peer: asked, .. } if asked == peer => {}
+            SyncStep::Summary {
+                peer: requested, ..
+            } if requested == peer => {}
             _ => return,
         }
         self.counters.comparisons_started += 1;
--- a/crates/tansylead-cluster/src/membership/machine.rs
+++ b/crates/tansylead-cluster/src/membership/machine.rs
@@ -8,7 +8,7 @@
 use super::probes::{ProbeOrder, ProbeTable};
 use super::settings::MembershipSettings;
 use super::sizes::{packet_budget, record_bytes};
-use super::sync::Sync;
+use super::sync::SyncState;
 use super::table::MemberTable;
 use super::timers::TimerQueue;
 use super::updates::UpdateQueue;
@@ -80,7 +80,7 @@
     pub(super) probes: ProbeTable,
     pub(super) probe_order: ProbeOrder,
     pub(super) places: RemotePlaces,
-    pub(super) sync: Sync,
+    pub(super) sync: SyncState,
     pub(super) summary_limit: EventLimit,
     pub(super) bulk_limit: ByteLimit,
     pub(super) correction_limit: EventLimit,
@@ -122,7 +122,7 @@
             probes: ProbeTable::default(),
             probe_order: ProbeOrder::default(),
             places: RemotePlaces::default(),
-            sync: Sync::new(joined),
+            sync: SyncState::new(joined),
             summary_limit: EventLimit::default(),
             bulk_limit: ByteLimit::new(now, settings.bulk_bytes_per_second),
             correction_limit: EventLimit::default(),
--- a/crates/tansylead-cluster/src/membership/sync.rs
+++ b/crates/tansylead-cluster/src/membership/sync.rs
@@ -28,10 +28,10 @@
     Idle,
     /// A summary was requested.
     Summary {
-        /// Peer asked.
+        /// Peer that was asked.
         peer: NodeId,
         /// Time of the request.
-        asked: Moment,
+        requested_at: Moment,
     },
     /// Pages are being requested.
     Pages(PageProgress),
@@ -39,7 +39,7 @@
 
 /// State of table comparison.
 #[derive(Debug)]
-pub(super) struct Sync {
+pub(super) struct SyncState {
     pub(super) step: SyncStep,
     pub(super) joined: bool,
     /// Comparisons completed with peers that have not joined themselves.
@@ -50,7 +50,7 @@
     pub(super) join_attempts: u32,
 }
 
-impl Sync {
+impl SyncState {
     pub(super) fn new(joined: bool) -> Self {
         Self {
             step: SyncStep::Idle,
--- a/crates/tansylead-cluster/src/routing/serving_set.rs
+++ b/crates/tansylead-cluster/src/routing/serving_set.rs
@@ -55,8 +55,8 @@
 /// The roots of a service in a place.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServingSet {
-    /// Owner of each slot; `root_count` entries, or none if the place has no members. A node owns
-    /// more than one slot only if the place has fewer members than slots.
+    /// Owner of each slot; `root_count` entries, or 0 if the place has no members. A node owns more
+    /// than one slot only if the place has fewer members than slots.
     pub roots: Vec<NodeId>,
     /// Most connections one root opens to any one leaf, whatever number of slots it owns.
     pub connections_per_root: u32,
--- a/crates/tansylead-cluster/tests/membership.rs
+++ b/crates/tansylead-cluster/tests/membership.rs
@@ -107,7 +107,8 @@
     let other = PlaceName::new("place-1").unwrap();
     assert!(!simulation.daemons[0].membership.is_reachable(&other));
     assert_eq!(count_seen(&simulation, 0, MemberState::Failed), 0);
-    // One member of each side fails; the other side cannot see it.
+    // Daemons 0 and 1 are in different places. One member of each place fails, unseen by the other
+    // side.
     simulation.kill(1 + PLACES);
     simulation.kill(PLACES);
     simulation.run(seconds(120));
