--- a/crates/tansylead-cluster/src/membership/event.rs
+++ b/crates/tansylead-cluster/src/membership/event.rs
@@ -31,8 +31,8 @@
         /// Peers.
         to: Vec<NodeId>,
     },
-    /// Send a `RevisionQuery` to a peer (from `InForceAction::Query`). A query to this daemon itself
-    /// is answered at once.
+    /// Send a `RevisionQuery` to a peer (from `InForceAction::Query`). A query to this daemon
+    /// itself is answered at once.
     QueryRevision {
         /// Peer.
         to: NodeId,
--- a/crates/tansylead-cluster/src/membership/limits.rs
+++ b/crates/tansylead-cluster/src/membership/limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits on what a daemon sends, so that a burst of member updates or of joining daemons stays
-//! within the bandwidth budget.
+//! Rate limits on what a daemon sends, so that a burst of member updates or of joining daemons
+//! stays within the bandwidth budget.
 
 use tansylead_types::Moment;
 
--- a/crates/tansylead-cluster/src/membership/machine.rs
+++ b/crates/tansylead-cluster/src/membership/machine.rs
@@ -230,8 +230,8 @@
         self.counters
     }
 
-    /// Sends a message, with the receiver's record if the receiver should refute it, and with queued
-    /// updates.
+    /// Sends a message, with the receiver's record if the receiver should refute it, and with
+    /// queued updates.
     pub(super) fn send(
         &mut self,
         now: Moment,
--- a/crates/tansylead-cluster/src/membership/packet.rs
+++ b/crates/tansylead-cluster/src/membership/packet.rs
@@ -95,8 +95,8 @@
     Gossip,
     /// The sender has just applied the configuration in its digest. Not answered.
     Announce,
-    /// Asks which configuration the receiver holds. Answered by `RevisionReply`, in whose digest it
-    /// stands.
+    /// Asks which configuration the receiver holds. Answered by `RevisionReply`, whose packet
+    /// carries the digest.
     RevisionQuery(Sequence),
     /// Answer to `RevisionQuery`.
     RevisionReply(Sequence),
--- a/crates/tansylead-cluster/src/membership/probes.rs
+++ b/crates/tansylead-cluster/src/membership/probes.rs
@@ -19,7 +19,7 @@
     Failed,
     /// Sent for another daemon, to which the acknowledgement is relayed: no effect.
     Relayed {
-        /// Daemon that asked for the probe.
+        /// Daemon that requested the probe.
         requester: NodeId,
         /// Sequence number of its request.
         sequence: Sequence,
--- a/crates/tansylead-cluster/src/membership/probing.rs
+++ b/crates/tansylead-cluster/src/membership/probing.rs
@@ -220,8 +220,8 @@
         }
     }
 
-    /// Handles a member of the own place that did not answer. A leaving member is declared failed at
-    /// once: it takes no new work anyway, and can still refute.
+    /// Handles a member of the own place that did not answer. A leaving member is declared failed
+    /// at once: it takes no new work anyway, and can still refute.
     fn suspect(&mut self, now: Moment, target: InstanceId, actions: &mut Vec<MembershipAction>) {
         let Some(held) = self.table.get(target.node) else {
             return;
--- a/crates/tansylead-cluster/src/membership/receive.rs
+++ b/crates/tansylead-cluster/src/membership/receive.rs
@@ -12,7 +12,7 @@
 /// Limit on open probes, including those relayed for others; it only bounds memory.
 const MAXIMUM_OPEN_PROBES: usize = 256;
 
-/// Limit on packets per second sent only to show their receivers the records held of them.
+/// Limit on packets per second sent only to show a node its own record, which it may refute.
 const CORRECTIONS_PER_SECOND: u32 = 10;
 
 impl Membership {
@@ -61,8 +61,8 @@
             .is_some_and(|held| held.instance.boot > sender.instance.boot)
     }
 
-    /// Sends a node its own record as held here. Rate-limited, so that no two daemons can keep
-    /// correcting each other at network speed.
+    /// Sends a node its own record as this daemon holds it. Rate-limited, so that no two daemons
+    /// can keep correcting each other at network speed.
     fn send_correction(&mut self, now: Moment, node: NodeId, actions: &mut Vec<MembershipAction>) {
         if self.correction_limit.admit(now, CORRECTIONS_PER_SECOND) {
             let updates: Vec<MemberRecord> = self.table.get(node).cloned().into_iter().collect();
--- a/crates/tansylead-cluster/src/membership/settings.rs
+++ b/crates/tansylead-cluster/src/membership/settings.rs
@@ -13,7 +13,8 @@
     pub indirect_probes: usize,
     /// A suspicion lasts this many probe periods, times the decimal logarithm of the place's size.
     pub suspicion_multiplier: f64,
-    /// A record is sent this many times as an update, times the decimal logarithm of the cluster size.
+    /// A record is sent this many times as an update, times the decimal logarithm of the cluster
+    /// size.
     pub retransmit_multiplier: f64,
     /// Period of probes to each other place.
     pub remote_probe_period: Duration,
@@ -36,8 +37,8 @@
     /// Bytes of pages, summaries and queued updates sent per second in total. Surplus page requests
     /// are dropped, and retried at the same or another peer.
     pub bulk_bytes_per_second: u64,
-    /// Summaries served per second; surplus requests are dropped, and retried at the same or another
-    /// peer.
+    /// Summaries served per second; surplus requests are dropped, and retried at the same or
+    /// another peer.
     pub summaries_served_per_second: u32,
     /// Bytes of queued updates sent per second.
     pub update_bytes_per_second: u64,
--- a/crates/tansylead-cluster/src/membership/sizes.rs
+++ b/crates/tansylead-cluster/src/membership/sizes.rs
@@ -1,5 +1,5 @@
-//! Encoded sizes of records, so that packets can be filled up to the size limit without encoding them
-//! twice.
+//! Encoded sizes of records, so that packets can be filled up to the size limit without encoding
+//! them twice.
 
 use super::member::MemberRecord;
 use super::packet::PageMember;
--- a/crates/tansylead-cluster/src/membership/table.rs
+++ b/crates/tansylead-cluster/src/membership/table.rs
@@ -1,7 +1,7 @@
 //! The records of all members, with indexes by place and state.
 //!
-//! Invariant: the record of a node is only replaced by one of higher precedence, or removed after its
-//! retention.
+//! Invariant: the record of a node is only replaced by one of higher precedence, or removed after
+//! its retention.
 
 use super::member::{MemberRecord, MemberState};
 use super::packet::PlaceSummary;
--- a/crates/tansylead-cluster/src/membership/timers.rs
+++ b/crates/tansylead-cluster/src/membership/timers.rs
@@ -1,5 +1,5 @@
-//! A queue of timers ordered by due time. Obsolete timers are not removed: the handler checks whether
-//! its timer still applies.
+//! A queue of timers ordered by due time. Obsolete timers are not removed: the handler checks
+//! whether its timer still applies.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -34,8 +34,8 @@
         self.timers.pop_first().map(|(_, timer)| timer)
     }
 
-    /// Postpones every timer after this process was suspended: peers must not be blamed for the time
-    /// in which it could not receive their packets.
+    /// Postpones every timer after this process was suspended: peers must not be blamed for the
+    /// time in which it could not receive their packets.
     pub(super) fn delay_all(&mut self, delay: Duration) {
         let timers = std::mem::take(&mut self.timers);
         self.timers = timers
--- a/crates/tansylead-cluster/src/membership/updates.rs
+++ b/crates/tansylead-cluster/src/membership/updates.rs
@@ -38,8 +38,8 @@
         self.insert(node, priority);
     }
 
-    /// Counts an update received from a peer as one transmission of the queued record, since it shows
-    /// that the record has spread.
+    /// Counts an update received from a peer as one transmission of the queued record, since it
+    /// shows that the record has spread.
     pub(super) fn count_received(&mut self, node: NodeId, transmission_limit: u32) {
         if let Some(priority) = self.priorities.get(&node).copied() {
             self.count_transmission(node, priority, transmission_limit);
--- a/crates/tansylead-cluster/src/routing/judge_ranking.rs
+++ b/crates/tansylead-cluster/src/routing/judge_ranking.rs
@@ -1,16 +1,17 @@
-//! Which daemons judge the roll-outs of a service: the first few members by rendezvous hashing, spread over
-//! places. There is no election: while daemons see different members, there may be a judge too many or too
-//! few, which does no harm.
+//! Which daemons judge the roll-outs of a service: the first few members by rendezvous hashing,
+//! spread over places. There is no election: while daemons see different members, there may be a
+//! judge too many or too few, which does no harm.
 //!
-//! Invariants: equal members, in any order, give equal judges; adding or removing one member changes at most
-//! one judge; no place has two judges while another place with members has none.
+//! Invariants: equal members, in any order, give equal judges; adding or removing one member
+//! changes at most one judge; no place has two judges while another place with members has none.
 
 use crate::membership::MemberRecord;
 use std::collections::BTreeMap;
 use tansylead_types::{NodeId, PlaceName, ServiceName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of judges of a service: one that decides and two standbys, so that two machines may be lost at once.
+/// Number of judges of a service: one that decides and two standbys, so that two machines may be
+/// lost at once.
 pub const JUDGE_COUNT: usize = 3;
 
 /// Sort key of a member; the lowest is the first judge.
--- a/crates/tansylead-cluster/src/routing/leaving_notices.rs
+++ b/crates/tansylead-cluster/src/routing/leaving_notices.rs
@@ -1,7 +1,7 @@
 //! Which roots are to be told that a leaf is leaving.
 //!
-//! A root learns that a leaf is leaving from the leaf's answers, its health or the machine list; the
-//! other roots of the same service and place may see none of these. So each of them, including
+//! A root learns that a leaf is leaving from the leaf's answers, its health or the machine list;
+//! the other roots of the same service and place may see none of these. So each of them, including
 //! later roots, is sent a notice, repeated every [`RENEWAL_PERIOD`] while the leaf is leaving,
 //! because roots let notices expire. Only first-hand knowledge may be sent: roots that forwarded
 //! notices would keep renewing one another's for ever.
--- a/crates/tansylead-cluster/src/routing/mod.rs
+++ b/crates/tansylead-cluster/src/routing/mod.rs
@@ -1,6 +1,6 @@
 //! Routing: which daemons are roots of a service in a place, to which place and root a frontend
-//! sends a query, which daemons judge the roll-outs of a service, and how the roots of a place share
-//! the limit of the operators' table.
+//! sends a query, which daemons judge the roll-outs of a service, and how the roots of a place
+//! share the limit of the operators' table.
 //!
 //! Four independent parts, each of which takes plain values and keeps no view of membership:
 //! - [`serving_set`]: the roots of a (service, place), the same on every daemon with the same view;
--- a/crates/tansylead-cluster/src/routing/place_state.rs
+++ b/crates/tansylead-cluster/src/routing/place_state.rs
@@ -105,8 +105,8 @@
 }
 
 impl ServicePlaces {
-    /// Sets the reachable roots of a place, usually its serving set without suspected members. Roots
-    /// that remain keep their state.
+    /// Sets the reachable roots of a place, usually its serving set without suspected members.
+    /// Roots that remain keep their state.
     pub fn set_roots(&mut self, place: &PlaceName, roots: impl IntoIterator<Item = NodeId>) {
         let known = self.places.remove(place).unwrap_or_default();
         let keep = |node: NodeId| {
--- a/crates/tansylead-cluster/src/routing/serving_set.rs
+++ b/crates/tansylead-cluster/src/routing/serving_set.rs
@@ -21,7 +21,8 @@
 pub const RESERVED_CONNECTIONS: u32 = 4;
 /// Fewest roots of a service in a place, where the leafs' connection limits allow it.
 pub const MINIMUM_ROOTS: u32 = 2;
-/// Most roots of a service in a place; sharing a limit among more costs more than the extra roots carry.
+/// Most roots of a service in a place; sharing a limit among more costs more than the extra roots
+/// carry.
 pub const MAXIMUM_ROOTS: u32 = 15;
 /// A zone with fewer members than the mean divided by this is small.
 pub const SMALL_ZONE_DIVISOR: usize = 4;
--- a/crates/tansylead-cluster/src/spread/puller.rs
+++ b/crates/tansylead-cluster/src/spread/puller.rs
@@ -106,8 +106,8 @@
         Some(pull)
     }
 
-    /// A random one of the peers that hold the newest revision. With a fixed choice, all daemons that
-    /// start together would pull everything from the same peer.
+    /// A random one of the peers that hold the newest revision. With a fixed choice, all daemons
+    /// that start together would pull everything from the same peer.
     fn newer_source(&mut self, held: ConfigDigest, random: &mut impl Rng) -> Option<Pull> {
         self.sources.retain(|_, digest| {
             digest.revision > held.revision
--- a/crates/tansylead-cluster/src/spread/readers.rs
+++ b/crates/tansylead-cluster/src/spread/readers.rs
@@ -1,6 +1,6 @@
-//! Which daemons of a place read the store: the first few, by rendezvous hashing, of the members that
-//! may take work. There is no election: while daemons see different members, there may be a reader
-//! too many or too few, which does no harm.
+//! Which daemons of a place read the store: the first few, by rendezvous hashing, of the members
+//! that may take work. There is no election: while daemons see different members, there may be a
+//! reader too many or too few, which does no harm.
 
 use crate::membership::MemberRecord;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/tansylead-cluster/src/spread/replica.rs
+++ b/crates/tansylead-cluster/src/spread/replica.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Applies a list of all changes after revision `after`. Objects that are not newer than the ones
-    /// held are skipped.
+    /// Applies a list of all changes after revision `after`. Objects that are not newer than the
+    /// ones held are skipped.
     pub fn apply(&mut self, after: u64, list: ObjectList) -> Result<ApplyOutcome, GapError> {
         if after > self.revision {
             return Err(GapError {
@@ -121,8 +121,8 @@
     }
 }
 
-/// Total order of the versions of one object. The generation decides; revision and change break ties
-/// between writes to a store that was restored from a backup and written again.
+/// Total order of the versions of one object. The generation decides; revision and change break
+/// ties between writes to a store that was restored from a backup and written again.
 fn compare_versions(left: &StoredObject, right: &StoredObject) -> Ordering {
     left.generation
         .cmp(&right.generation)
--- a/crates/tansylead-cluster/tests/judge_ranking.rs
+++ b/crates/tansylead-cluster/tests/judge_ranking.rs
@@ -1,5 +1,5 @@
-//! Selection of roll-out judges: the same on all daemons, spread over places and services, and stable
-//! when members change.
+//! Selection of roll-out judges: the same on all daemons, spread over places and services, and
+//! stable when members change.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/tansylead-cluster/tests/membership.rs
+++ b/crates/tansylead-cluster/tests/membership.rs
@@ -280,8 +280,8 @@
     assert!(simulation.members_agree());
 }
 
-/// Two runs share an address, as after a clock that went back or an address that moved: the run with
-/// the lower boot must be told that it was replaced.
+/// Two runs share an address, as after a clock that went back or an address that moved: the run
+/// with the lower boot must be told that it was replaced.
 #[test]
 fn earlier_run_finds_itself_replaced() {
     let local = |port: u16, boot: u64| LocalMember {
--- a/crates/tansylead-cluster/tests/place_choice.rs
+++ b/crates/tansylead-cluster/tests/place_choice.rs
@@ -133,8 +133,8 @@
                 PlaceChoice::Refuse { cause, retry_after } => {
                     prop_assert!((0..3).all(|number| !eligible(number)));
                     prop_assert!(retry_after >= Duration::from_millis(100));
-                    let none_enabled = rows.iter().all(|&(weight, limit)| weight == 0 || limit == 0);
-                    prop_assert_eq!(cause == RefuseCause::NoPlaceEnabled, none_enabled);
+                    let all_off = rows.iter().all(|&(weight, limit)| weight == 0 || limit == 0);
+                    prop_assert_eq!(cause == RefuseCause::NoPlaceEnabled, all_off);
                 }
             }
         }
--- a/crates/tansylead-cluster/tests/replica_model.rs
+++ b/crates/tansylead-cluster/tests/replica_model.rs
@@ -1,6 +1,6 @@
-//! `ConfigReplica` against a model: whichever lists of a store that is written, backed up and restored
-//! arrive, and in whichever order, the replica holds the newest version of each object. A replica
-//! that keeps the last value received must fail the same test.
+//! `ConfigReplica` against a model: whichever lists of a store that is written, backed up and
+//! restored arrive, and in whichever order, the replica holds the newest version of each object. A
+//! replica that keeps the last value received must fail the same test.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/tansylead-cluster/tests/system.rs
+++ b/crates/tansylead-cluster/tests/system.rs
@@ -89,7 +89,8 @@
     }
 }
 
-/// Ends all faults: heals the network, resumes frozen daemons, and restarts killed and leaving ones.
+/// Ends all faults: heals the network, resumes frozen daemons, and restarts killed and leaving
+/// ones.
 fn stop_faults(simulation: &mut Simulation) {
     simulation.faults = Faults::default();
     simulation.store.down = false;
