--- a/crates/tansylead-cluster/src/membership/probing.rs
+++ b/crates/tansylead-cluster/src/membership/probing.rs
@@ -19,7 +19,7 @@
 /// Members of any place sent to per gossip period.
 const GOSSIP_ANY_FAN_OUT: usize = 1;
 
-/// With a budget for updates below this, no gossip packet is sent.
+/// With a smaller budget for updates, a gossip packet is not worth sending.
 const MINIMUM_GOSSIP_BYTES: usize = 200;
 
 impl Membership {
