--- a/crates/tansylead-cluster/src/membership/joining.rs
+++ b/crates/tansylead-cluster/src/membership/joining.rs
@@ -50,10 +50,10 @@
         }
         let delay = match std::mem::replace(&mut self.sync.step, SyncStep::Idle) {
             SyncStep::Idle => self.begin_sync(now, actions),
-            SyncStep::Summary { peer, requested_at } => {
-                let waited = now.since(requested_at);
+            SyncStep::Summary { peer, asked_at } => {
+                let waited = now.since(asked_at);
                 if waited < self.settings.join_period {
-                    self.sync.step = SyncStep::Summary { peer, requested_at };
+                    self.sync.step = SyncStep::Summary { peer, asked_at };
                     self.settings.join_period - waited
                 } else {
                     self.begin_sync(now, actions)
@@ -98,7 +98,7 @@
         };
         self.sync.step = SyncStep::Summary {
             peer,
-            requested_at: now,
+            asked_at: now,
         };
         self.send(now, peer, GossipMessage::SummaryRequest, actions);
     }
@@ -179,9 +179,7 @@
     fn is_idle(&self, now: Moment) -> bool {
         match &self.sync.step {
             SyncStep::Idle => true,
-            SyncStep::Summary { requested_at, .. } => {
-                now.since(*requested_at) > self.settings.join_period
-            }
+            SyncStep::Summary { asked_at, .. } => now.since(*asked_at) > self.settings.join_period,
             SyncStep::Pages(_) => false,
         }
     }
--- a/crates/tansylead-cluster/src/membership/sync.rs
+++ b/crates/tansylead-cluster/src/membership/sync.rs
@@ -31,7 +31,7 @@
         /// Peer that was asked.
         peer: NodeId,
         /// Time of the request.
-        requested_at: Moment,
+        asked_at: Moment,
     },
     /// Pages are being requested.
     Pages(PageProgress),
