--- a/crates/tansylead-cluster/src/membership/receive.rs
+++ b/crates/tansylead-cluster/src/membership/receive.rs
@@ -42,7 +42,7 @@
         let limit = self.transmission_limit();
         for update in &packet.updates {
             if self.adopt(now, update, actions) == Comparison::Same {
-                self.updates.heard(update.node(), limit);
+                self.updates.on_received(update.node(), limit);
             }
         }
         if packet.config != self.config {
--- a/crates/tansylead-cluster/src/membership/updates.rs
+++ b/crates/tansylead-cluster/src/membership/updates.rs
@@ -40,7 +40,7 @@
 
     /// A peer passed the queued statement on to this daemon: it counts like one passing on, since
     /// the statement is known that much more widely.
-    pub(super) fn heard(&mut self, node: NodeId, transmission_limit: u32) {
+    pub(super) fn on_received(&mut self, node: NodeId, transmission_limit: u32) {
         if let Some(priority) = self.priorities.get(&node).copied() {
             self.count_transmission(node, priority, transmission_limit);
         }
--- a/crates/tansylead-gateway/src/cluster/feed_server.rs
+++ b/crates/tansylead-gateway/src/cluster/feed_server.rs
@@ -81,7 +81,7 @@
 fn has_news_of_evacuations(reply: &FeedReply, request: &FeedRequest) -> bool {
     let held = request.evacuated.as_ref();
     let told = reply.evacuated.as_ref();
-    told.is_some_and(|told| told.is_news_for(held))
+    told.is_some_and(|told| told.is_update_for(held))
 }
 
 /// Also if the orders have not changed, but are known as far as the asking daemon needs them.
@@ -110,7 +110,7 @@
         version: gateway.version(),
         revision,
         evacuated: gateway.evacuated(),
-        roll_outs: roll_outs.filter(|held| held.is_news_for(request.roll_outs)),
+        roll_outs: roll_outs.filter(|held| held.is_update_for(request.roll_outs)),
         roll_outs_held,
         ages: WordAges::of(gateway),
         waited_millis: millis(waited),
--- a/crates/tansylead-gateway/src/cluster/members.rs
+++ b/crates/tansylead-gateway/src/cluster/members.rs
@@ -74,7 +74,7 @@
         let report_codec = ReportCodec::new(&settings.cluster);
         let roll_out_codec = RollOutCodec::new(&settings.cluster);
         let quarantine_codec = QuarantineCodec::new(&settings.cluster);
-        view.set_life(local.instance.boot);
+        view.set_boot(local.instance.boot);
         let membership = new_membership(&local, &settings.seeds);
         Ok(Self {
             gateway,
@@ -251,7 +251,7 @@
     fn succeed(&mut self, by: InstanceId) {
         log::warn!(boot = by.boot; "own address was held by a later run; starting membership anew");
         self.local.instance.boot = by.boot + 1;
-        self.view.set_life(self.local.instance.boot);
+        self.view.set_boot(self.local.instance.boot);
         self.membership = new_membership(&self.local, &self.gateway.settings.seeds);
         self.feed(MembershipEvent::Wakeup);
     }
--- a/crates/tansylead-gateway/src/cluster/view.rs
+++ b/crates/tansylead-gateway/src/cluster/view.rs
@@ -41,7 +41,7 @@
     /// Rises whenever the members change.
     members_version: Cell<u64>,
     /// This daemon's run, as membership tells it to the others.
-    life: Cell<u64>,
+    boot: Cell<u64>,
 }
 
 /// How good a member is to poll; the least is the best.
@@ -74,7 +74,7 @@
             sources: RefCell::default(),
             joined: Cell::new(false),
             members_version: Cell::new(0),
-            life: Cell::new(0),
+            boot: Cell::new(0),
         }
     }
 
@@ -124,13 +124,13 @@
     }
 
     /// Sets this daemon's run, as membership tells it to the others: later runs are greater.
-    pub fn set_life(&self, life: u64) {
-        self.life.set(life);
+    pub fn set_boot(&self, boot: u64) {
+        self.boot.set(boot);
     }
 
     /// This daemon's run.
-    pub fn life(&self) -> u64 {
-        self.life.get()
+    pub fn boot(&self) -> u64 {
+        self.boot.get()
     }
 
     /// The tree of each region.
--- a/crates/tansylead-gateway/src/execution/call.rs
+++ b/crates/tansylead-gateway/src/execution/call.rs
@@ -78,7 +78,7 @@
         };
         self.launch(&mut progress, AttemptReason::First, false);
         while self.goes_on(&mut progress) {
-            let look = self.next_look(&progress);
+            let recheck = self.next_recheck(&progress);
             let overdue = progress
                 .attempts
                 .iter()
@@ -94,7 +94,7 @@
                 }
                 () = self.shared.care.changed(), if progress.waiting.is_some() => {}
                 () = self.gateway.quarantine.changed(), if progress.waiting.is_some() => {}
-                () = Clock.sleep_until(look.unwrap_or(self.end)), if look.is_some() => {}
+                () = Clock.sleep_until(recheck.unwrap_or(self.end)), if recheck.is_some() => {}
                 () = Clock.sleep_until(wakeup) => {
                     if Clock.now() >= self.end {
                         return self.fail(progress, true);
@@ -112,9 +112,9 @@
         !progress.attempts.is_empty() || progress.waiting.is_some()
     }
 
-    /// When to look again whether an attempt that waits may start, if that hangs on time.
-    fn next_look(&self, progress: &Progress) -> Option<Moment> {
-        progress.waiting.and_then(|_| self.next_trial_look())
+    /// When to check again whether an attempt that waits may start, if that hangs on time.
+    fn next_recheck(&self, progress: &Progress) -> Option<Moment> {
+        progress.waiting.and_then(|_| self.next_trial_recheck())
     }
 
     fn fail(&self, progress: Progress, timed_out: bool) -> CallEnd {
--- a/crates/tansylead-gateway/src/execution/call_care.rs
+++ b/crates/tansylead-gateway/src/execution/call_care.rs
@@ -91,7 +91,7 @@
         if care.has_waited_too_long(now) {
             return SendAdmission::Never;
         }
-        match self.next_trial_look() {
+        match self.next_trial_recheck() {
             Some(_) => SendAdmission::Later,
             None => SendAdmission::Now,
         }
@@ -103,8 +103,8 @@
         is_suspect && !care.is_tried() && !care.is_answered()
     }
 
-    /// When to look again whether a suspect may be tried; none if it may be now.
-    pub(super) fn next_trial_look(&self) -> Option<Moment> {
+    /// When to check again whether a suspect may be tried; none if it may be now.
+    pub(super) fn next_trial_recheck(&self) -> Option<Moment> {
         if !self.is_untried_suspect() {
             return None;
         }
--- a/crates/tansylead-gateway/src/execution/leaf_access.rs
+++ b/crates/tansylead-gateway/src/execution/leaf_access.rs
@@ -8,7 +8,7 @@
 use crate::state::{ActiveConfiguration, Gateway};
 use std::rc::Rc;
 use std::sync::Arc;
-use tansylead_route::{Route, Standing};
+use tansylead_route::{Eligibility, Route};
 
 /// The route of a request, and what of it is in force now.
 #[derive(Debug, Clone)]
@@ -41,7 +41,7 @@
     pub fn may_use(&self, leaf: &LeafState) -> bool {
         let route = self.route_in_force();
         let grace = self.gateway.settings.bounds.missing_grace();
-        leaf.standing_for(&route.policy.homes, Clock.now(), grace) < Standing::Gone
+        leaf.eligibility_for(&route.policy.homes, Clock.now(), grace) < Eligibility::Ineligible
     }
 
     fn find_in(&self, active: &ActiveConfiguration) -> Option<Arc<Route>> {
--- a/crates/tansylead-gateway/src/leaf/leaf_standing.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_availability.rs
@@ -4,27 +4,27 @@
 use crate::clock::Clock;
 use std::cell::{Cell, Ref, RefCell};
 use std::time::Duration;
-use tansylead_route::{ColdLeafLimit, LeafEntry, LeafPhase, Listing, Standing};
+use tansylead_route::{ColdLeafLimit, Eligibility, EntryState, LeafEntry, LeafPhase};
 use tansylead_types::Moment;
 
 /// What decides whether a leaf may be used.
 #[derive(Debug)]
-pub(super) struct LeafStanding {
+pub(super) struct LeafAvailability {
     entry: RefCell<LeafEntry>,
-    listing: Cell<Listing>,
+    entry_state: Cell<EntryState>,
     /// Whether the leaf's zone is being emptied.
     is_evacuated: Cell<bool>,
     cold_limit: Cell<ColdLeafLimit>,
 }
 
-impl LeafStanding {
+impl LeafAvailability {
     /// A leaf that is listed.
     pub(super) fn new(entry: LeafEntry) -> Self {
         let mut cold_limit = ColdLeafLimit::default();
         cold_limit.on_reported_cold(Clock.now(), entry.warmup_left);
         Self {
             entry: RefCell::new(entry),
-            listing: Cell::default(),
+            entry_state: Cell::default(),
             is_evacuated: Cell::new(false),
             cold_limit: Cell::new(cold_limit),
         }
@@ -46,14 +46,15 @@
             self.cold_limit.set(limit);
         }
         *self.entry.borrow_mut() = entry;
-        self.listing.set(self.listing.get().after_present());
+        self.entry_state
+            .set(self.entry_state.get().after_received());
     }
 
     /// Notes that the entry is missing. Returns whether that says anything new.
     pub(super) fn set_missing(&self, now: Moment, source_was_away: bool) -> bool {
-        let is_news = self.listing.get() != Listing::Replaced;
+        let is_news = self.entry_state.get() != EntryState::Replaced;
         if is_news {
-            self.listing.set(Listing::Missing {
+            self.entry_state.set(EntryState::Missing {
                 since: now,
                 source_was_away,
             });
@@ -63,14 +64,14 @@
 
     /// Notes that only an older copy of the source lists the leaf.
     pub(super) fn set_doubtful(&self, now: Moment) {
-        if self.listing.get() != Listing::Replaced {
-            self.listing.set(Listing::Doubtful { since: now });
+        if self.entry_state.get() != EntryState::Replaced {
+            self.entry_state.set(EntryState::Doubtful { since: now });
         }
     }
 
     /// Notes that another run of a leaf has the address.
     pub(super) fn set_replaced(&self) {
-        self.listing.set(Listing::Replaced);
+        self.entry_state.set(EntryState::Replaced);
     }
 
     /// Whether the leaf said that it is leaving.
@@ -81,10 +82,10 @@
     /// Whether the entry went without a word of leaving, while the source could be heard.
     pub(super) fn has_vanished(&self) -> bool {
         let said_so = self.is_leaving();
-        match self.listing.get() {
-            Listing::Listed | Listing::Doubtful { .. } => false,
-            Listing::Replaced => !said_so,
-            Listing::Missing {
+        match self.entry_state.get() {
+            EntryState::Listed | EntryState::Doubtful { .. } => false,
+            EntryState::Replaced => !said_so,
+            EntryState::Missing {
                 source_was_away, ..
             } => !said_so && !source_was_away,
         }
@@ -93,8 +94,8 @@
     /// Whether the directory lists the leaf.
     pub(super) fn is_listed(&self) -> bool {
         matches!(
-            self.listing.get(),
-            Listing::Listed | Listing::Doubtful { .. }
+            self.entry_state.get(),
+            EntryState::Listed | EntryState::Doubtful { .. }
         )
     }
 
@@ -129,13 +130,13 @@
     }
 
     /// How the leaf may be used, by its entry and its zone.
-    pub(super) fn standing(&self, now: Moment, grace: Duration) -> Standing {
+    pub(super) fn eligibility(&self, now: Moment, grace: Duration) -> Eligibility {
         if self.is_evacuated.get() {
-            return Standing::Gone;
+            return Eligibility::Ineligible;
         }
         match self.entry.borrow().phase {
-            LeafPhase::Draining => Standing::Gone,
-            LeafPhase::Ready => self.listing.get().standing(now, grace),
+            LeafPhase::Draining => Eligibility::Ineligible,
+            LeafPhase::Ready => self.entry_state.get().eligibility(now, grace),
         }
     }
 }
--- a/crates/tansylead-gateway/src/leaf/leaf_state.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_state.rs
@@ -1,8 +1,8 @@
 //! What this daemon knows of one run of a leaf. Shared by all routes that use it.
 
+use super::leaf_availability::LeafAvailability;
 use super::leaf_connections::LeafConnections;
 use super::leaf_health::{LeafHealth, ratio};
-use super::leaf_standing::LeafStanding;
 use super::lost_runs::LostRuns;
 use super::open_attempt::OpenAttempt;
 use crate::clock::Clock;
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tansylead_http::HttpConnection;
 use tansylead_route::{
-    BreakerVerdict, Candidate, ConnectionShare, Distance, HomeRegions, LeafEntry, LeafLocation,
-    LeafReport, Stage, Standing, VersionUse,
+    BreakerVerdict, Candidate, ConnectionShare, Distance, Eligibility, HomeRegions, LeafEntry,
+    LeafLocation, LeafReport, Stage, VersionUse,
 };
 use tansylead_types::{Moment, PlaceName};
 
@@ -25,7 +25,7 @@
 /// One run of a leaf.
 #[derive(Debug)]
 pub struct LeafState {
-    standing: LeafStanding,
+    availability: LeafAvailability,
     /// Versions of its service.
     versions: Rc<ServiceVersions>,
     location: LeafLocation,
@@ -45,7 +45,7 @@
     ) -> Self {
         versions.on_entry(&entry);
         Self {
-            standing: LeafStanding::new(entry),
+            availability: LeafAvailability::new(entry),
             versions,
             location,
             in_flight: Cell::new(0),
@@ -57,7 +57,7 @@
 
     /// The directory's entry.
     pub fn entry(&self) -> Ref<'_, LeafEntry> {
-        self.standing.entry()
+        self.availability.entry()
     }
 
     /// Distance from this daemon.
@@ -73,13 +73,13 @@
     /// Takes in an entry that is new or has come back. A leaf that said it was leaving stays so.
     pub fn update(&self, entry: LeafEntry) {
         self.versions.on_entry(&entry);
-        self.standing.update(entry);
+        self.availability.update(entry);
     }
 
     /// Notes that the entry is missing. Connections are kept only if it may have lapsed while the
     /// source was away.
     pub fn set_missing(&self, now: Moment, source_was_away: bool) {
-        let is_news = self.standing.set_missing(now, source_was_away);
+        let is_news = self.availability.set_missing(now, source_was_away);
         if is_news && !source_was_away {
             self.connections.close_idle();
         }
@@ -87,23 +87,23 @@
 
     /// Notes that only an older copy of the source lists the leaf, which the source had taken out.
     pub fn set_doubtful(&self, now: Moment) {
-        self.standing.set_doubtful(now);
+        self.availability.set_doubtful(now);
     }
 
     /// Notes that another run of a leaf has the address, or has begun under its id.
     pub fn set_replaced(&self) {
-        self.standing.set_replaced();
+        self.availability.set_replaced();
         self.connections.close_idle();
     }
 
     /// Whether the directory lists the leaf.
     pub fn is_listed(&self) -> bool {
-        self.standing.is_listed()
+        self.availability.is_listed()
     }
 
     /// Notes whether the leaf's zone is being emptied. Its idle connections are closed then.
     pub fn set_evacuated(&self, is_evacuated: bool) {
-        self.standing.set_evacuated(is_evacuated);
+        self.availability.set_evacuated(is_evacuated);
         if is_evacuated {
             self.connections.close_idle();
         }
@@ -111,26 +111,31 @@
 
     /// How the leaf may be used for new requests that are confined to `homes`. Whatever sends
     /// requests, or counts on a leaf for them, asks here.
-    pub fn standing_for(&self, homes: &HomeRegions, now: Moment, grace: Duration) -> Standing {
-        let may_serve = homes.allow(self.region()) && self.standing.has_room(now);
+    pub fn eligibility_for(
+        &self,
+        homes: &HomeRegions,
+        now: Moment,
+        grace: Duration,
+    ) -> Eligibility {
+        let may_serve = homes.allow(self.region()) && self.availability.has_room(now);
         if !may_serve {
-            return Standing::Gone;
+            return Eligibility::Ineligible;
         }
-        let standing = self.standing.standing(now, grace);
+        let eligibility = self.availability.eligibility(now, grace);
         match self.versions.use_of(now, &self.entry()) {
-            VersionUse::Unrestricted | VersionUse::Granted(_) => standing,
-            VersionUse::LastResort => standing.max(Standing::LastResort),
-            VersionUse::NotGranted | VersionUse::Excluded => Standing::Gone,
+            VersionUse::Unrestricted | VersionUse::Granted(_) => eligibility,
+            VersionUse::LastResort => eligibility.max(Eligibility::LastResort),
+            VersionUse::NotGranted | VersionUse::Excluded => Eligibility::Ineligible,
         }
     }
 
     /// How the leaf may be used at all, whatever a route is confined to, however little a cold leaf
     /// bears, and whatever is granted to its version: connections are shared and kept by it. One whose
     /// entry went without a word is the last resort for `grace`.
-    pub fn standing(&self, now: Moment, grace: Duration) -> Standing {
+    pub fn eligibility(&self, now: Moment, grace: Duration) -> Eligibility {
         match self.versions.use_of(now, &self.entry()) {
-            VersionUse::Excluded => Standing::Gone,
-            _ => self.standing.standing(now, grace),
+            VersionUse::Excluded => Eligibility::Ineligible,
+            _ => self.availability.eligibility(now, grace),
         }
     }
 
@@ -153,7 +158,7 @@
     pub(super) fn begin_send(&self, now: Moment, terms: &SendTerms) -> Option<VersionSend> {
         let target = SendTarget {
             way: self.way(),
-            is_cold: self.standing.is_cold(now),
+            is_cold: self.availability.is_cold(now),
         };
         let version = &self.entry().version;
         self.versions
@@ -163,7 +168,7 @@
     /// Sets this daemon's part of the requests of a second that the leaf bears while it is cold; none
     /// if there is no bound.
     pub fn set_cold_part(&self, part: Option<u32>) {
-        self.standing.set_cold_part(part);
+        self.availability.set_cold_part(part);
     }
 
     /// Bounds the requests at a time by this daemon's part of the leaf's connections.
@@ -217,7 +222,7 @@
     pub(super) fn on_sent(&self, now: Moment) {
         self.connections.on_sent(now);
         self.health.on_sent(now);
-        self.standing.on_sent(now);
+        self.availability.on_sent(now);
     }
 
     /// Counts the end of an attempt, which was sent at `sent` if it was sent at all.
@@ -281,12 +286,12 @@
 
     /// Whether the leaf said that it is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.standing.is_leaving()
+        self.availability.is_leaving()
     }
 
     /// Whether the leaf's entry went without a word of leaving, while the source could be heard.
     pub fn has_vanished(&self) -> bool {
-        self.standing.has_vanished()
+        self.availability.has_vanished()
     }
 
     /// Notes an answer that took `latency`, of a kind that typically takes `typical`. Returns
@@ -325,7 +330,7 @@
     /// `idle_limit`, if it says so.
     pub fn give_back(&self, connection: HttpConnection, idle_limit: Option<Duration>) {
         let now = Clock.now();
-        let is_regular = self.standing(now, Duration::ZERO) == Standing::Regular;
+        let is_regular = self.eligibility(now, Duration::ZERO) == Eligibility::Regular;
         if !connection.is_closed() && is_regular {
             self.connections.give_back(connection, now, idle_limit);
         }
--- a/crates/tansylead-gateway/src/leaf/mod.rs
+++ b/crates/tansylead-gateway/src/leaf/mod.rs
@@ -3,9 +3,9 @@
 mod attempt;
 mod end_check;
 mod idle_connections;
+mod leaf_availability;
 mod leaf_connections;
 mod leaf_health;
-mod leaf_standing;
 mod leaf_state;
 mod lost_runs;
 mod open_attempt;
--- a/crates/tansylead-gateway/src/leaf/service_state.rs
+++ b/crates/tansylead-gateway/src/leaf/service_state.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tansylead_route::{
-    BreakerVerdict, Candidate, ExtraAttempt, HomeRegions, LeafRun, RetryBudget, Stage, Standing,
+    BreakerVerdict, Candidate, Eligibility, ExtraAttempt, HomeRegions, LeafRun, RetryBudget, Stage,
     choose_leaf,
 };
 use tansylead_types::{LeafId, Moment, ServiceName};
@@ -95,7 +95,7 @@
     pub fn forget_gone(&self) {
         let now = Clock.now();
         let is_kept = |leaf: &Rc<LeafState>| {
-            leaf.is_listed() || leaf.standing(now, self.missing_grace) < Standing::Gone
+            leaf.is_listed() || leaf.eligibility(now, self.missing_grace) < Eligibility::Ineligible
         };
         self.leafs.borrow_mut().retain(is_kept);
     }
@@ -114,7 +114,7 @@
         let leafs = self.leafs.borrow();
         let regular = leafs
             .iter()
-            .filter(|leaf| leaf.standing(now, self.missing_grace) == Standing::Regular);
+            .filter(|leaf| leaf.eligibility(now, self.missing_grace) == Eligibility::Regular);
         regular.cloned().collect()
     }
 
@@ -122,10 +122,10 @@
     pub fn has_leafs(&self, homes: &HomeRegions) -> bool {
         let now = Clock.now();
         let leafs = self.leafs.borrow();
-        let mut standings = leafs
+        let mut eligibilities = leafs
             .iter()
-            .map(|leaf| leaf.standing_for(homes, now, self.missing_grace));
-        standings.any(|standing| standing < Standing::Gone)
+            .map(|leaf| leaf.eligibility_for(homes, now, self.missing_grace));
+        eligibilities.any(|eligibility| eligibility < Eligibility::Ineligible)
     }
 
     /// Leafs with an entry, and those whose entries went missing lately.
@@ -165,25 +165,28 @@
     ) -> Option<Rc<LeafState>> {
         let now = Clock.now();
         let leafs = self.leafs.borrow();
-        let standing_for = |leaf: &Rc<LeafState>| leaf.standing_for(homes, now, self.missing_grace);
+        let eligibility_for =
+            |leaf: &Rc<LeafState>| leaf.eligibility_for(homes, now, self.missing_grace);
         if let Some(stage) = self.versions.preferred_stage(now, is_first) {
             let targets = leafs.iter().filter(|leaf| {
-                leaf.trial_stage().is_some() && standing_for(leaf) == Standing::Regular
+                leaf.trial_stage().is_some() && eligibility_for(leaf) == Eligibility::Regular
             });
             let target = best(targets, excluded, typical, now);
             if let Some(target) = target.filter(|leaf| can_take_trial(leaf, stage, now)) {
                 return Some(target);
             }
         }
-        let standing = |leaf: &Rc<LeafState>| match leaf.trial_stage() {
-            Some(Stage::Trial | Stage::Shift) => standing_for(leaf).max(Standing::LastResort),
-            _ => standing_for(leaf),
+        let eligibility = |leaf: &Rc<LeafState>| match leaf.trial_stage() {
+            Some(Stage::Trial | Stage::Shift) => eligibility_for(leaf).max(Eligibility::LastResort),
+            _ => eligibility_for(leaf),
         };
-        let best_standing = leafs.iter().map(standing).min()?;
-        if best_standing == Standing::Gone {
+        let best_eligibility = leafs.iter().map(eligibility).min()?;
+        if best_eligibility == Eligibility::Ineligible {
             return None;
         }
-        let usable = leafs.iter().filter(|leaf| standing(leaf) == best_standing);
+        let usable = leafs
+            .iter()
+            .filter(|leaf| eligibility(leaf) == best_eligibility);
         best(usable, excluded, typical, now)
     }
 
--- a/crates/tansylead-gateway/src/quarantine/state.rs
+++ b/crates/tansylead-gateway/src/quarantine/state.rs
@@ -186,7 +186,7 @@
     /// Notes that this daemon runs. After it stood still, what waited in the socket looks as if it had just happened,
     /// and one event would look like two: it is passed over for a moment.
     pub fn tick(&self, now: Moment) {
-        self.pause_guard.borrow_mut().look(now);
+        self.pause_guard.borrow_mut().check(now);
     }
 
     fn merge(&self, record: QuarantineRecord) {
--- a/crates/tansylead-gateway/src/roll_out/judge.rs
+++ b/crates/tansylead-gateway/src/roll_out/judge.rs
@@ -1,7 +1,7 @@
 //! The trials that this daemon judges: reports in, grants and conclusions out.
 //!
 //! Invariants: a trial is kept as long as its order stands and has not ended, also while other daemons are
-//! ranked as its judges; only a ranked judge takes reports in and looks at its trials.
+//! ranked as its judges; only a ranked judge takes reports in and evaluates its trials.
 
 use super::message::GrantMessage;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     UnknownOrder,
 }
 
-/// What the judge knows beside the reports when it looks at its trials.
+/// What the judge knows beside the reports when it evaluates its trials.
 #[derive(Debug, Clone, Copy)]
 pub struct JudgeContext<'a> {
     /// Daemons that run, this one included.
@@ -35,14 +35,14 @@
     pub is_source_fresh: bool,
 }
 
-/// What came of a look at one trial.
+/// Result of the evaluation of one trial.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TrialLook {
+pub struct TrialEvaluation {
     /// The order as it was last heard of.
     pub roll_out: RollOut,
     /// Stage now.
     pub stage: Stage,
-    /// Whether the stage is another one than at the last look.
+    /// Whether the stage is another one than at the last evaluation.
     pub is_new_stage: bool,
     /// What is to be written to the source.
     pub write: Option<(Conclusion, ConclusionReason)>,
@@ -50,7 +50,7 @@
     pub is_beginning: bool,
     /// Whether the trial may conclude soon, so that it matters whether the source answers.
     pub needs_source: bool,
-    /// Counts behind the look.
+    /// Counts behind the evaluation.
     pub counts: TrialCounts,
     /// Sends to the target version that the bounds allow after so many requests.
     pub allowance: u64,
@@ -68,7 +68,7 @@
     /// The answer to the newest report of each daemon, or what was granted after it.
     answered: BTreeMap<NodeId, GrantMessage>,
     stage: Option<Stage>,
-    /// Whether a completion was held back at the last look.
+    /// Whether a completion was held back at the last evaluation.
     is_held_back: bool,
 }
 
@@ -104,16 +104,16 @@
         let orders = &self.orders;
         self.trials.retain(|service, judged| {
             let order = orders.get(service);
-            let stands = order.filter(|order| order.order == judged.roll_out.order);
-            if let Some(order) = stands {
+            let current = order.filter(|order| order.order == judged.roll_out.order);
+            if let Some(order) = current {
                 judged.note(order);
             }
-            stands.is_some()
+            current.is_some()
         });
     }
 
     /// Takes in what was read or written of an order.
-    pub fn on_standing(&mut self, roll_out: &RollOut) {
+    pub fn on_current(&mut self, roll_out: &RollOut) {
         if let Some(judged) = self.trials.get_mut(&roll_out.service) {
             judged.note(roll_out);
         }
@@ -134,24 +134,24 @@
         Ok(judged.answer(now, report, node))
     }
 
-    /// Looks at all trials of which this daemon is a judge.
-    pub fn look(
+    /// Evaluates all trials of which this daemon is a judge.
+    pub fn evaluate(
         &mut self,
         now: Moment,
         context: JudgeContext<'_>,
         mut rank_of: impl FnMut(&ServiceName) -> Option<usize>,
-    ) -> Vec<TrialLook> {
+    ) -> Vec<TrialEvaluation> {
         let services: Vec<ServiceName> = self.orders.keys().cloned().collect();
-        let mut looks = Vec::new();
+        let mut evaluations = Vec::new();
         for service in services {
             let Some(rank) = rank_of(&service) else {
                 continue;
             };
             if let Some(judged) = self.trial(now, &service, None) {
-                looks.push(judged.look(now, context, rank));
+                evaluations.push(judged.evaluate(now, context, rank));
             }
         }
-        looks
+        evaluations
     }
 
     /// Stages of all trials.
@@ -159,7 +159,7 @@
         self.trials.values().filter_map(|judged| judged.stage)
     }
 
-    /// Whether a completion waits for the last attempts on old leafs, so that another look is worthwhile soon.
+    /// Whether a completion waits for the last attempts on old leafs, so that another evaluation is worthwhile soon.
     pub fn holds_back(&self) -> bool {
         self.trials.values().any(|judged| judged.is_held_back)
     }
@@ -194,10 +194,10 @@
         }
     }
 
-    fn note(&mut self, standing: &RollOut) {
-        let is_same = standing.order == self.roll_out.order;
-        if is_same && standing.changed_at > self.roll_out.changed_at {
-            self.roll_out = standing.clone();
+    fn note(&mut self, current: &RollOut) {
+        let is_same = current.order == self.roll_out.order;
+        if is_same && current.changed_at > self.roll_out.changed_at {
+            self.roll_out = current.clone();
         }
     }
 
@@ -214,14 +214,14 @@
             service: report.service.clone(),
             order: report.order,
             judge,
-            life: report.life,
+            boot: report.boot,
             sequence: report.sequence,
             turn: 0,
             grant: self.trial.grant(now, report.reporter),
         };
         let held = self.answered.get(&report.reporter);
-        let place = (report.life, report.sequence);
-        if held.is_none_or(|held| (held.life, held.sequence) < place) {
+        let place = (report.boot, report.sequence);
+        if held.is_none_or(|held| (held.boot, held.sequence) < place) {
             self.answered.insert(report.reporter, answer.clone());
         }
         answer
@@ -240,7 +240,7 @@
         grants
     }
 
-    fn look(&mut self, now: Moment, context: JudgeContext<'_>, rank: usize) -> TrialLook {
+    fn evaluate(&mut self, now: Moment, context: JudgeContext<'_>, rank: usize) -> TrialEvaluation {
         // Once it has concluded, only the write itself can tell whether the source takes it.
         let has_concluded = self.stage.is_some_and(|stage| stage >= Stage::Commit);
         let trial_context = TrialContext {
@@ -248,13 +248,13 @@
             rank,
             is_source_fresh: context.is_source_fresh || has_concluded,
         };
-        let verdict = self.trial.look(now, trial_context);
+        let verdict = self.trial.evaluate(now, trial_context);
         let is_new_stage = self.stage.replace(verdict.stage) != Some(verdict.stage);
         self.is_held_back = verdict.stage == Stage::Commit && verdict.write.is_none();
         let is_followed = self.is_followed(now);
         let counts = self.trial.counts();
         let allowed = counts.requests as f64 * self.bounds.share + self.bounds.slack;
-        TrialLook {
+        TrialEvaluation {
             roll_out: self.roll_out.clone(),
             stage: verdict.stage,
             is_new_stage,
--- a/crates/tansylead-gateway/src/roll_out/message.rs
+++ b/crates/tansylead-gateway/src/roll_out/message.rs
@@ -13,8 +13,8 @@
     pub order: OrderId,
     /// The judge.
     pub judge: NodeId,
-    /// Life of the reporter, as in the report.
-    pub life: u64,
+    /// Run of the reporter, as in the report.
+    pub boot: u64,
     /// Number of the report that it answers: the reporter takes answers in this order.
     pub sequence: u64,
     /// Grants that were sent after the same report before, unasked ones.
--- a/crates/tansylead-gateway/src/roll_out/mod.rs
+++ b/crates/tansylead-gateway/src/roll_out/mod.rs
@@ -2,12 +2,12 @@
 //! and the judges that conclude.
 
 mod context;
+mod evaluation_log;
 mod evidence_log;
 mod judge;
 mod judge_metrics;
 mod judge_seats;
 mod link;
-mod look_log;
 mod message;
 mod metrics;
 mod pause_guard;
@@ -25,7 +25,7 @@
 mod version_send;
 
 pub use context::RollOutContext;
-pub use judge::{Judge, JudgeContext, ReportRefusal, TrialLook};
+pub use judge::{Judge, JudgeContext, ReportRefusal, TrialEvaluation};
 pub use judge_metrics::{JudgeMetrics, MessageFate, MessageKind};
 pub use judge_seats::{FollowedGrant, SILENCE_LIMIT};
 pub use link::RollOutLink;
--- a/crates/tansylead-gateway/src/roll_out/pause_guard.rs
+++ b/crates/tansylead-gateway/src/roll_out/pause_guard.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// A longer time between two looks, which come every few tens of milliseconds, is a pause: as long as a
+/// A longer time between two checks, which come every few tens of milliseconds, is a pause: as long as a
 /// silent judge is still followed.
 const PAUSE_LIMIT: Duration = Duration::from_millis(600);
-/// Watches the times of the looks.
+/// Watches the times of the checks.
 #[derive(Debug)]
 pub struct PauseGuard {
-    /// A longer time between two looks is a pause.
+    /// A longer time between two checks is a pause.
     limit: Duration,
-    looked_at: Option<Moment>,
+    checked_at: Option<Moment>,
     distrusts_until: Option<Moment>,
 }
 
@@ -29,24 +29,24 @@
     /// as a busy reporter takes to report again.
     pub const DISTRUST: Duration = Duration::from_millis(250);
 
-    /// A guard that takes a longer time between two looks for a pause.
+    /// A guard that takes a longer time between two checks for a pause.
     pub fn new(limit: Duration) -> Self {
         Self {
             limit,
-            looked_at: None,
+            checked_at: None,
             distrusts_until: None,
         }
     }
 
-    /// Whether the next look will find a pause: whoever acts before it must not rely on what comes.
+    /// Whether the next check will find a pause: whoever acts before it must not rely on what comes.
     pub fn is_overdue(&self, now: Moment) -> bool {
-        self.looked_at.is_some_and(|at| now.since(at) > self.limit)
+        self.checked_at.is_some_and(|at| now.since(at) > self.limit)
     }
 
-    /// Notes a look. Returns how long this process did not run, if it was paused.
-    pub fn look(&mut self, now: Moment) -> Option<Duration> {
-        let gap = self.looked_at.map_or(Duration::ZERO, |at| now.since(at));
-        self.looked_at = Some(now);
+    /// Records a check. Returns how long this process did not run, if it was paused.
+    pub fn check(&mut self, now: Moment) -> Option<Duration> {
+        let gap = self.checked_at.map_or(Duration::ZERO, |at| now.since(at));
+        self.checked_at = Some(now);
         if gap <= self.limit {
             return None;
         }
@@ -54,9 +54,9 @@
         Some(gap)
     }
 
-    /// Notes that no looks will come until there is something to do.
+    /// Notes that no checks will come until there is something to do.
     pub fn rest(&mut self) {
-        self.looked_at = None;
+        self.checked_at = None;
     }
 
     /// Whether messages that come now may have waited during a pause.
--- a/crates/tansylead-gateway/src/roll_out/reporter.rs
+++ b/crates/tansylead-gateway/src/roll_out/reporter.rs
@@ -28,8 +28,8 @@
     pub judges: &'a [NodeId],
     /// Daemons that run.
     pub daemons: usize,
-    /// This daemon's life.
-    pub life: u64,
+    /// This daemon's run, as in `InstanceId`.
+    pub boot: u64,
 }
 
 /// What was told last.
@@ -48,7 +48,7 @@
     order: OrderId,
     node: NodeId,
     known_since: Moment,
-    life: u64,
+    boot: u64,
     sequence: u64,
     seats: JudgeSeats,
     stage: Option<Stage>,
@@ -65,7 +65,7 @@
             order: roll_out.order,
             node,
             known_since: now,
-            life: 0,
+            boot: 0,
             sequence: 0,
             seats: JudgeSeats::default(),
             stage: None,
@@ -107,7 +107,7 @@
         if fleet.judges.is_empty() || !self.is_due(now, evidence, fleet.daemons) {
             return None;
         }
-        self.life = fleet.life;
+        self.boot = fleet.boot;
         self.sequence += 1;
         self.note_sent(now);
         self.last = Some(LastReport {
@@ -121,7 +121,7 @@
             service: self.service.clone(),
             order: self.order,
             reporter: self.node,
-            life: self.life,
+            boot: self.boot,
             sequence: self.sequence,
             known_for_millis: u32::try_from(known_for).unwrap_or(u32::MAX),
             follows: self.followed(),
@@ -132,7 +132,7 @@
 
     /// Takes in the answer of a judge.
     pub fn on_answer(&mut self, now: Moment, message: &GrantMessage) -> AnswerEnd {
-        let is_own = message.life == self.life && message.order == self.order;
+        let is_own = message.boot == self.boot && message.order == self.order;
         if !is_own || !self.was_sent_lately(now, message.sequence) {
             return AnswerEnd::Late;
         }
--- a/crates/tansylead-gateway/src/roll_out/reporters.rs
+++ b/crates/tansylead-gateway/src/roll_out/reporters.rs
@@ -58,11 +58,11 @@
     }
 
     /// The reports that are due now. Hands on what was granted.
-    pub fn look(
+    pub fn due_reports(
         &mut self,
         now: Moment,
         ranked: &mut RankedJudges,
-        life: u64,
+        boot: u64,
     ) -> Vec<RollOutReport> {
         let daemons = ranked.members().len();
         let services: Vec<ServiceName> = self.reporters.keys().cloned().collect();
@@ -73,7 +73,7 @@
             let fleet = Fleet {
                 judges: &judges,
                 daemons,
-                life,
+                boot,
             };
             reports.extend(self.report(now, &service, fleet));
         }
--- a/crates/tansylead-gateway/src/roll_out/roll_out_task.rs
+++ b/crates/tansylead-gateway/src/roll_out/roll_out_task.rs
@@ -1,10 +1,10 @@
 //! The task of one daemon for roll-outs: it reports to the judges, judges the trials that it is ranked for, and
 //! writes conclusions to the source. It does nothing while no roll-out runs.
 
-use super::judge::{Judge, JudgeContext, ReportRefusal, TrialLook};
+use super::evaluation_log::log_counts;
+use super::judge::{Judge, JudgeContext, ReportRefusal, TrialEvaluation};
 use super::judge_metrics::{JudgeMetrics, MessageFate, MessageKind, conclusion_label};
 use super::link::RollOutLink;
-use super::look_log::log_counts;
 use super::message::{GrantMessage, RollOutMessage};
 use super::pause_guard::PauseGuard;
 use super::ranked_judges::RankedJudges;
@@ -24,10 +24,10 @@
 use tansylead_types::{Moment, NodeId, ServiceName};
 use tokio::sync::mpsc;
 
-/// Period at which it is looked whether reports are due: a part of the shortest period between reports.
+/// Period at which it is checked whether reports are due: a part of the shortest period between reports.
 const TICK: Duration = Duration::from_millis(50);
-/// Ticks from one look at the trials to the next: four looks a second, more while a completion is held back.
-const TICKS_EACH_LOOK: u32 = 5;
+/// Ticks from one evaluation of the trials to the next: four a second, more while a completion is held back.
+const TICKS_PER_EVALUATION: u32 = 5;
 
 /// The task.
 #[derive(Debug)]
@@ -102,7 +102,7 @@
     }
 
     fn take_in_orders(&mut self) {
-        let Some(orders) = self.gateway.standing_roll_outs() else {
+        let Some(orders) = self.gateway.current_roll_outs() else {
             return;
         };
         self.reporters.set_orders(Clock.now(), &orders);
@@ -118,23 +118,25 @@
         self.notice_pause(now);
         self.report(now);
         self.ticks += 1;
-        if self.ticks >= TICKS_EACH_LOOK || self.judge.holds_back() {
+        if self.ticks >= TICKS_PER_EVALUATION || self.judge.holds_back() {
             self.ticks = 0;
-            self.look(now);
+            self.evaluate_trials(now);
         }
         self.metrics.on_overflow(self.link.take_dropped());
     }
 
     /// Sends the reports that are due.
     fn report(&mut self, now: Moment) {
-        let reports = self.reporters.look(now, &mut self.ranked, self.view.life());
+        let reports = self
+            .reporters
+            .due_reports(now, &mut self.ranked, self.view.boot());
         for report in reports {
             self.send_report(now, report);
         }
     }
 
     fn notice_pause(&mut self, now: Moment) {
-        if let Some(pause) = self.pauses.look(now) {
+        if let Some(pause) = self.pauses.check(now) {
             let millis = pause.as_millis() as u64;
             log::warn!(paused_ms = millis; "did not run; what came meanwhile about roll-outs is passed over");
         }
@@ -201,8 +203,8 @@
         self.reporters.on_answer(now, grant, &mut self.ranked);
     }
 
-    /// Looks at the trials.
-    fn look(&mut self, now: Moment) {
+    /// Evaluates the trials.
+    fn evaluate_trials(&mut self, now: Moment) {
         let members = self.ranked.members();
         let context = JudgeContext {
             members: &members,
@@ -214,12 +216,12 @@
             let is_under_trial = !gateway.service(service).versions().is_settled();
             is_under_trial.then(|| ranked.rank(service, node)).flatten()
         };
-        let looks = self.judge.look(now, context, rank_of);
-        for look in looks {
-            self.on_look(now, look);
+        let evaluations = self.judge.evaluate(now, context, rank_of);
+        for evaluation in evaluations {
+            self.on_evaluation(now, evaluation);
         }
         for roll_out in self.check.take_found() {
-            self.judge.on_standing(&roll_out);
+            self.judge.on_current(&roll_out);
         }
         self.metrics.set_trials(self.judge.stages());
     }
@@ -236,7 +238,7 @@
 
     /// Completes orders for versions that their services run alone already.
     fn complete_settled(&mut self) {
-        let Some(orders) = self.gateway.standing_roll_outs() else {
+        let Some(orders) = self.gateway.current_roll_outs() else {
             return;
         };
         let open = orders
@@ -252,34 +254,40 @@
         }
     }
 
-    fn on_look(&mut self, now: Moment, mut look: TrialLook) {
-        for (node, grant) in std::mem::take(&mut look.grants) {
+    fn on_evaluation(&mut self, now: Moment, mut evaluation: TrialEvaluation) {
+        for (node, grant) in std::mem::take(&mut evaluation.grants) {
             self.answer(now, node, grant);
         }
-        if look.is_new_stage {
-            log_counts(&look, "stage", "another stage of the trial");
+        if evaluation.is_new_stage {
+            log_counts(&evaluation, "stage", "another stage of the trial");
         }
-        if let Some((conclusion, reason)) = look.write {
-            return self.conclude(&look, conclusion, reason);
+        if let Some((conclusion, reason)) = evaluation.write {
+            return self.conclude(&evaluation, conclusion, reason);
         }
-        if look.is_beginning {
-            self.writes.start(&look.roll_out, RollOutState::Running);
+        if evaluation.is_beginning {
+            self.writes
+                .start(&evaluation.roll_out, RollOutState::Running);
         }
-        if look.needs_source {
-            self.check.ask(now, &look.roll_out);
+        if evaluation.needs_source {
+            self.check.ask(now, &evaluation.roll_out);
         }
     }
 
-    fn conclude(&mut self, look: &TrialLook, conclusion: Conclusion, reason: ConclusionReason) {
+    fn conclude(
+        &mut self,
+        evaluation: &TrialEvaluation,
+        conclusion: Conclusion,
+        reason: ConclusionReason,
+    ) {
         let wanted = match conclusion {
             Conclusion::Complete => RollOutState::Completed,
             Conclusion::RollBack => RollOutState::RolledBack,
         };
-        if !self.writes.start(&look.roll_out, wanted) {
+        if !self.writes.start(&evaluation.roll_out, wanted) {
             return;
         }
         self.metrics.on_conclusion(conclusion, reason);
-        log_counts(look, reason.label(), conclusion_label(conclusion));
+        log_counts(evaluation, reason.label(), conclusion_label(conclusion));
     }
 
     fn on_ended_write(&mut self, ended: EndedWrite) {
@@ -290,8 +298,8 @@
         } = ended;
         self.metrics.on_state(wanted, end.label());
         log::info!(service = roll_out.service.as_str(), state = wanted.label(), end = end.label(); "writing of a roll-out ended");
-        if let StateWriteEnd::Stands(changed_at) = end {
-            self.judge.on_standing(&RollOut {
+        if let StateWriteEnd::Confirmed(changed_at) = end {
+            self.judge.on_current(&RollOut {
                 state: wanted,
                 changed_at,
                 ..roll_out
--- a/crates/tansylead-gateway/src/roll_out/state_writes.rs
+++ b/crates/tansylead-gateway/src/roll_out/state_writes.rs
@@ -88,7 +88,7 @@
     ended: mpsc::UnboundedSender<EndedWrite>,
 ) {
     let end = calls.write_until_it_stands(roll_out.clone(), wanted).await;
-    let is_beginning = matches!(end, StateWriteEnd::Stands(_)) && !wanted.is_final();
+    let is_beginning = matches!(end, StateWriteEnd::Confirmed(_)) && !wanted.is_final();
     // The receiver is gone only if this daemon is stopping.
     let _ = ended.send(EndedWrite {
         roll_out,
--- a/crates/tansylead-gateway/src/state.rs
+++ b/crates/tansylead-gateway/src/state.rs
@@ -96,7 +96,7 @@
     /// What is ordered, as the source tells it; none until it is known.
     roll_outs: RefCell<Option<RollOuts>>,
     /// The same with what the source has lost: what is acted on.
-    standing_roll_outs: RefCell<RollOuts>,
+    current_roll_outs: RefCell<RollOuts>,
     order_memory: RefCell<OrderMemory>,
     roll_out_context: Rc<RollOutContext>,
     /// Revision up to which the orders must be known for the leafs that are held.
@@ -153,7 +153,7 @@
             departed: RefCell::default(),
             evacuated: RefCell::default(),
             roll_outs: RefCell::default(),
-            standing_roll_outs: RefCell::default(),
+            current_roll_outs: RefCell::default(),
             order_memory: RefCell::default(),
             roll_out_context: Rc::new(context),
             roll_outs_needed: Cell::default(),
--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -148,7 +148,7 @@
         let versions = Rc::clone(&self.roll_out_context);
         let service = ServiceState::new(name.clone(), bounds, self.started, versions);
         let service = Rc::new(service);
-        if let Some(roll_outs) = self.standing_roll_outs() {
+        if let Some(roll_outs) = self.current_roll_outs() {
             let order = roll_outs.get(name);
             service.versions().apply(Clock.now(), order, roll_outs.at);
         }
--- a/crates/tansylead-gateway/src/state/roll_outs.rs
+++ b/crates/tansylead-gateway/src/state/roll_outs.rs
@@ -59,9 +59,9 @@
 
     /// The orders to act on; none if nothing is known of them yet. After the source came back from an older copy,
     /// these are also the orders that it has lost, and those whose outcome it has lost are as they ended.
-    pub fn standing_roll_outs(&self) -> Option<RollOuts> {
+    pub fn current_roll_outs(&self) -> Option<RollOuts> {
         let is_known = self.roll_outs.borrow().is_some();
-        is_known.then(|| self.standing_roll_outs.borrow().clone())
+        is_known.then(|| self.current_roll_outs.borrow().clone())
     }
 
     /// Outcomes that the source has lost, with the orders as it tells them.
@@ -114,16 +114,16 @@
         let now = Clock.now();
         let before = self.roll_outs.borrow().as_ref().map(|held| held.at.era);
         let is_restored = before.is_some_and(|era| era < told.at.era);
-        let standing = {
-            let before = self.standing_roll_outs.borrow();
+        let current = {
+            let before = self.current_roll_outs.borrow();
             let mut memory = self.order_memory.borrow_mut();
             memory.reconcile(now, &before, &told, is_restored)
         };
         for service in self.services.borrow().values() {
-            let order = standing.get(service.name());
-            service.versions().apply(now, order, standing.at);
+            let order = current.get(service.name());
+            service.versions().apply(now, order, current.at);
         }
-        *self.standing_roll_outs.borrow_mut() = standing;
+        *self.current_roll_outs.borrow_mut() = current;
         *self.roll_outs.borrow_mut() = Some(told);
     }
 }
--- a/crates/tansylead-gateway/tests/attempts.rs
+++ b/crates/tansylead-gateway/tests/attempts.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tansylead_gateway::leaf::{AttemptEnd, LeafState, OutgoingRequest, run_attempt};
 use tansylead_gateway::{Clock, HeaderNames};
-use tansylead_route::Standing;
+use tansylead_route::Eligibility;
 use tansylead_types::ServiceName;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -71,7 +71,7 @@
     let names = Rc::new(HeaderNames::default());
     let sent = Rc::new(Cell::new(None));
     let leaf = Rc::clone(leaf);
-    let may_use = |leaf: &LeafState| leaf.standing(Clock.now(), LIMIT) < Standing::Gone;
+    let may_use = |leaf: &LeafState| leaf.eligibility(Clock.now(), LIMIT) < Eligibility::Ineligible;
     let terms = common::terms(LIMIT);
     run_attempt(leaf, Rc::new(request), names, may_use, terms, sent).await
 }
@@ -134,5 +134,8 @@
     let leaf = state(leaf(misdirected).await);
     let end = attempt(&leaf).await;
     assert!(matches!(end, AttemptEnd::Refused(_)), "{end:?}");
-    assert_eq!(leaf.standing(Clock.now(), LIMIT), Standing::Gone);
+    assert_eq!(
+        leaf.eligibility(Clock.now(), LIMIT),
+        Eligibility::Ineligible
+    );
 }
--- a/crates/tansylead-gateway/tests/common/trial.rs
+++ b/crates/tansylead-gateway/tests/common/trial.rs
@@ -11,8 +11,8 @@
 use tansylead_gateway::roll_out::{SendTerms, ServiceVersions};
 use tansylead_gateway::{Clock, HeaderNames};
 use tansylead_route::{
-    ConnectionShare, Distance, Grant, HomeRegions, LeafLocation, OrderId, Revision,
-    RollOutEvidence, RollOutState, Standing,
+    ConnectionShare, Distance, Eligibility, Grant, HomeRegions, LeafLocation, OrderId, Revision,
+    RollOutEvidence, RollOutState,
 };
 use tokio::task::{JoinHandle, spawn_local};
 
@@ -84,8 +84,9 @@
     let names = Rc::new(HeaderNames::default());
     let sent = Rc::new(Cell::new(None));
     let homes = HomeRegions::default();
-    let may_use =
-        move |leaf: &LeafState| leaf.standing_for(&homes, Clock.now(), LIMIT) < Standing::Gone;
+    let may_use = move |leaf: &LeafState| {
+        leaf.eligibility_for(&homes, Clock.now(), LIMIT) < Eligibility::Ineligible
+    };
     run_attempt(Rc::clone(leaf), request(true), names, may_use, terms, sent).await
 }
 
--- a/crates/tansylead-gateway/tests/roll_out_codec.rs
+++ b/crates/tansylead-gateway/tests/roll_out_codec.rs
@@ -51,7 +51,7 @@
         service: service(),
         order: OrderId(u64::MAX),
         reporter: node(1),
-        life: u64::MAX,
+        boot: u64::MAX,
         sequence: 77,
         known_for_millis: 9_000,
         follows: Some(node(2)),
@@ -71,7 +71,7 @@
         service: service(),
         order: OrderId(1),
         judge: node(2),
-        life: 3,
+        boot: 3,
         sequence,
         turn: 0,
         grant: Grant {
--- a/crates/tansylead-gateway/tests/roll_out_conclusions.rs
+++ b/crates/tansylead-gateway/tests/roll_out_conclusions.rs
@@ -45,7 +45,7 @@
     }
 
     fn state(&self) -> Option<RollOutState> {
-        self.source.standing().map(|order| order.state)
+        self.source.current().map(|order| order.state)
     }
 
     async fn until_rolled_back(&self) {
@@ -109,12 +109,12 @@
     World::run(async |world| {
         world.until_rolled_back().await;
         world.fleet.daemon(world.judges[0]).stop();
-        let written = world.source.standing();
+        let written = world.source.current();
         // Nobody tells the others: the next judge takes the conclusion over, and finds that it stands.
         let next = &world.fleet.daemon(world.judges[1]).gateway;
         let is_in_force = || known_state(next) == Some(RollOutState::RolledBack);
         until("the next judge knows", is_in_force).await;
-        assert_eq!(world.source.standing(), written);
+        assert_eq!(world.source.current(), written);
     })
     .await;
 }
@@ -140,9 +140,9 @@
     World::run(async |world| {
         world.fleet.network.cut.borrow_mut().insert(world.judges[0]);
         world.until_rolled_back().await;
-        let written = world.source.standing();
+        let written = world.source.current();
         tokio::time::sleep(TIME_OF_OTHERS).await;
-        assert_eq!(world.source.standing(), written);
+        assert_eq!(world.source.current(), written);
         for judge in &world.judges[..2] {
             let gateway = &world.fleet.daemon(*judge).gateway;
             assert_eq!(known_state(gateway), Some(RollOutState::RolledBack));
--- a/crates/tansylead-gateway/tests/roll_out_fleet.rs
+++ b/crates/tansylead-gateway/tests/roll_out_fleet.rs
@@ -127,14 +127,14 @@
 }
 
 #[tokio::test]
-async fn a_daemon_reports_under_the_life_that_membership_tells() {
+async fn a_daemon_reports_under_the_boot_that_membership_tells() {
     with_order(LONG, async |fleet, _, judges| {
         let daemon = fleet.daemon(fleet.others(judges[0])[0]);
-        daemon.view.set_life(2);
-        until("the new life reports and follows", || {
+        daemon.view.set_boot(2);
+        until("the new run reports and follows", || {
             let reports = fleet.network.reports.borrow();
             reports.iter().any(|report| {
-                report.reporter == daemon.node && report.life == 2 && report.follows.is_some()
+                report.reporter == daemon.node && report.boot == 2 && report.follows.is_some()
             })
         })
         .await;
--- a/crates/tansylead-gateway/tests/roll_out_judge.rs
+++ b/crates/tansylead-gateway/tests/roll_out_judge.rs
@@ -25,7 +25,7 @@
         service: service(),
         order: OrderId(order),
         reporter: node(5),
-        life: 3,
+        boot: 3,
         sequence,
         known_for_millis: 100,
         follows,
@@ -54,7 +54,7 @@
         .on_report(now, &report(1, 8, None), Some(2))
         .expect("a judge");
     assert_eq!((answer.judge, answer.order), (node(1), OrderId(1)));
-    assert_eq!((answer.life, answer.sequence), (3, 8));
+    assert_eq!((answer.boot, answer.sequence), (3, 8));
 }
 
 #[test]
@@ -86,8 +86,8 @@
     let mut judge = judge(&source);
     let now = Moment::from_millis(1_000);
     let is_beginning = |judge: &mut Judge, rank| {
-        let looks = judge.look(now, context(&members), |_| rank);
-        looks.iter().any(|look| look.is_beginning)
+        let evaluations = judge.evaluate(now, context(&members), |_| rank);
+        evaluations.iter().any(|evaluation| evaluation.is_beginning)
     };
     assert!(!is_beginning(&mut judge, Some(0)), "followed by nobody");
     let followed = report(1, 1, Some(node(1)));
@@ -97,7 +97,7 @@
     assert!(!is_beginning(&mut judge, None));
     let mut running = order(1, DURATION, Revision::first_era(99));
     running.state = RollOutState::Running;
-    judge.on_standing(&running);
+    judge.on_current(&running);
     assert!(!is_beginning(&mut judge, Some(0)));
 }
 
@@ -118,8 +118,8 @@
         let mut report = report(1, millis, follows);
         report.known_for_millis = millis as u32;
         judge.on_report(now, &report, Some(0)).expect("a judge");
-        let looks = judge.look(now, context(&members), |_| Some(0));
-        assert_eq!(looks[0].needs_source, expected, "{millis}");
+        let evaluations = judge.evaluate(now, context(&members), |_| Some(0));
+        assert_eq!(evaluations[0].needs_source, expected, "{millis}");
     }
 }
 
@@ -132,11 +132,11 @@
     let mut place = answer.expect("a judge").place();
     for _ in 0..3 {
         now = now + Duration::from_millis(250);
-        let looks = judge.look(now, context(&members), |_| Some(0));
-        let [(to, grant)] = looks[0].grants.as_slice() else {
-            panic!("one daemon lacks the stage: {looks:?}");
+        let evaluations = judge.evaluate(now, context(&members), |_| Some(0));
+        let [(to, grant)] = evaluations[0].grants.as_slice() else {
+            panic!("one daemon lacks the stage: {evaluations:?}");
         };
-        assert_eq!((*to, grant.life), (node(5), 3));
+        assert_eq!((*to, grant.boot), (node(5), 3));
         assert!(grant.place() > place, "each is newer than the one before");
         place = grant.place();
     }
@@ -144,8 +144,8 @@
     knowing.stage = Some(Stage::Trial);
     let answer = judge.on_report(now, &knowing, Some(0)).expect("a judge");
     assert!(answer.place() > place);
-    let looks = judge.look(now, context(&members), |_| Some(0));
-    assert!(looks[0].grants.is_empty());
+    let evaluations = judge.evaluate(now, context(&members), |_| Some(0));
+    assert!(evaluations[0].grants.is_empty());
 }
 
 #[test]
@@ -163,8 +163,8 @@
         report.stage = Some(Stage::Commit);
         report.evidence.running_on_old = running_on_old;
         judge.on_report(now, &report, Some(0)).expect("a judge");
-        let looks = judge.look(now, context, |_| Some(0));
-        assert_eq!(looks[0].write.is_none(), is_held_back);
+        let evaluations = judge.evaluate(now, context, |_| Some(0));
+        assert_eq!(evaluations[0].write.is_none(), is_held_back);
         assert_eq!(judge.holds_back(), is_held_back);
     }
 }
@@ -190,21 +190,21 @@
     let mut pauses = PauseGuard::default();
     for millis in (0..2_000).step_by(50) {
         let now = Moment::from_millis(millis);
-        assert_eq!(pauses.look(now), None);
+        assert_eq!(pauses.check(now), None);
         assert!(!pauses.distrusts(now));
     }
     let woken = Moment::from_millis(9_000);
-    assert!(pauses.look(woken).is_some());
+    assert!(pauses.check(woken).is_some());
     assert!(pauses.distrusts(woken));
     let later = Moment::from_millis(9_300);
-    assert_eq!(pauses.look(later), None);
+    assert_eq!(pauses.check(later), None);
     assert!(!pauses.distrusts(later));
 }
 
 #[test]
 fn a_rest_is_no_pause() {
     let mut pauses = PauseGuard::default();
-    pauses.look(Moment::from_millis(0));
+    pauses.check(Moment::from_millis(0));
     pauses.rest();
-    assert_eq!(pauses.look(Moment::from_millis(9_000)), None);
+    assert_eq!(pauses.check(Moment::from_millis(9_000)), None);
 }
--- a/crates/tansylead-gateway/tests/roll_out_reporter.rs
+++ b/crates/tansylead-gateway/tests/roll_out_reporter.rs
@@ -10,7 +10,7 @@
 };
 use tansylead_types::{Moment, NodeId, ServiceName, SoftwareVersion};
 
-const LIFE: u64 = 7;
+const BOOT: u64 = 7;
 const STEP_MILLIS: u64 = 50;
 
 fn node(number: u16) -> NodeId {
@@ -45,7 +45,7 @@
         service: report.service.clone(),
         order: report.order,
         judge,
-        life: report.life,
+        boot: report.boot,
         sequence: report.sequence,
         turn: 0,
         grant,
@@ -79,7 +79,7 @@
         let fleet = Fleet {
             judges: &judges,
             daemons: self.daemons,
-            life: LIFE,
+            boot: BOOT,
         };
         self.reporter.choose_judge(self.now(), &judges);
         self.reporter.report(self.now(), &self.evidence, fleet)
@@ -285,7 +285,7 @@
     }
     daemon.evidence.requests += 1;
     let mut foreign = daemon.next_report();
-    foreign.life = LIFE - 1;
+    foreign.boot = BOOT - 1;
     assert_eq!(
         daemon.answered(node(1), &foreign, grant(99, Stage::Trial)),
         AnswerEnd::Late
@@ -360,7 +360,7 @@
     ] {
         let mut daemon = Daemon::new();
         let first = daemon.next_report();
-        assert_eq!((first.follows, first.stage, first.life), (None, None, LIFE));
+        assert_eq!((first.follows, first.stage, first.boot), (None, None, BOOT));
         let mut last = first.sequence;
         let granted = [Stage::Trial, Stage::Shift, concluded, Stage::Trial, other];
         let told = [Stage::Trial, Stage::Shift, concluded, concluded, concluded];
--- a/crates/tansylead-gateway/tests/roll_out_sockets.rs
+++ b/crates/tansylead-gateway/tests/roll_out_sockets.rs
@@ -36,7 +36,7 @@
         service: service(),
         order: OrderId(1),
         judge: NodeId(([10, 0, 0, 1], 1).into()),
-        life: 1,
+        boot: 1,
         sequence,
         turn: 0,
         grant: Grant {
@@ -53,7 +53,7 @@
         let (node, view, _) = member(Vec::new()).await;
         until("it is known that there is nobody", || view.is_joined()).await;
         assert_eq!(view.judges(&service()), vec![node]);
-        assert!(view.life() > 0);
+        assert!(view.boot() > 0);
     };
     LocalSet::new().run_until(running).await;
 }
--- a/crates/tansylead-gateway/tests/roll_out_world/faulty_source.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/faulty_source.rs
@@ -97,13 +97,13 @@
     }
 
     /// The order as it stands.
-    pub fn standing(&self) -> Option<RollOut> {
+    pub fn current(&self) -> Option<RollOut> {
         self.orders.borrow().get(&service()).cloned()
     }
 
     /// Changes the state as another judge would.
     pub fn set_state(&self, state: RollOutState) {
-        let held = self.standing().expect("ordered");
+        let held = self.current().expect("ordered");
         self.put(&held, state);
     }
 
@@ -115,9 +115,9 @@
 
     /// A conditional write.
     fn put(&self, held: &RollOut, state: RollOutState) -> WriteEnd {
-        let standing = self.standing();
-        if standing.as_ref() != Some(held) {
-            return WriteEnd::Conflict(standing.map(Box::new));
+        let current = self.current();
+        if current.as_ref() != Some(held) {
+            return WriteEnd::Conflict(current.map(Box::new));
         }
         let changed_at = self.next_revision();
         let written = RollOut {
--- a/crates/tansylead-gateway/tests/roll_out_world/fleet.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/fleet.rs
@@ -71,7 +71,7 @@
         let node = record.node();
         let view = ClusterView::new(node, record.place.clone(), 3, Vec::new());
         view.set_members(members.to_vec(), true);
-        view.set_life(1);
+        view.set_boot(1);
         Self {
             node,
             gateway: gateway(node.0, Vec::new()),
--- a/crates/tansylead-gateway/tests/roll_out_writes.rs
+++ b/crates/tansylead-gateway/tests/roll_out_writes.rs
@@ -32,11 +32,11 @@
     let held = source.give(1, DURATION);
     source.write_faults.borrow_mut().extend(faults);
     let end = write(&source, &held, RollOutState::Completed).await;
-    let standing = source.standing().expect("ordered");
-    assert_eq!(standing.state, RollOutState::Completed);
-    assert_eq!(end, StateWriteEnd::Stands(standing.changed_at));
+    let current = source.current().expect("ordered");
+    assert_eq!(current.state, RollOutState::Completed);
+    assert_eq!(end, StateWriteEnd::Confirmed(current.changed_at));
     assert!(
-        standing.changed_at.number <= held.changed_at.number + 1,
+        current.changed_at.number <= held.changed_at.number + 1,
         "done once"
     );
     source.writes.borrow().len()
@@ -83,7 +83,7 @@
     let faults = [Fault::Refused, Fault::NotDone];
     source.read_faults.borrow_mut().extend(faults);
     let end = write(&source, &held, RollOutState::RolledBack).await;
-    assert!(matches!(end, StateWriteEnd::Stands(_)));
+    assert!(matches!(end, StateWriteEnd::Confirmed(_)));
     assert_eq!((source.writes.borrow().len(), source.reads.get()), (1, 3));
 }
 
@@ -98,7 +98,7 @@
             source.write_faults.borrow_mut().extend(fault);
             let end = write(&source, &held, wanted).await;
             assert_eq!(end, StateWriteEnd::EndedAs(other));
-            assert_eq!(source.standing().map(|order| order.state), Some(other));
+            assert_eq!(source.current().map(|order| order.state), Some(other));
         }
     }
 }
@@ -109,7 +109,7 @@
     let held = source.give(1, DURATION);
     source.set_state(RollOutState::Running);
     let end = write(&source, &held, RollOutState::Completed).await;
-    assert!(matches!(end, StateWriteEnd::Stands(_)));
+    assert!(matches!(end, StateWriteEnd::Confirmed(_)));
     assert_eq!(source.writes.borrow().len(), 2);
 }
 
@@ -123,7 +123,7 @@
     let other = source.give(2, DURATION);
     let end = write(&source, &held, RollOutState::Completed).await;
     assert_eq!(end, StateWriteEnd::Replaced);
-    assert_eq!(source.standing(), Some(other));
+    assert_eq!(source.current(), Some(other));
 }
 
 #[tokio::test]
@@ -141,16 +141,16 @@
             write(&source, &held, RollOutState::Completed),
             write(&source, &held, RollOutState::RolledBack),
         );
-        let stands = source.standing().expect("ordered");
+        let current = source.current().expect("ordered");
         let told = [
             (first, RollOutState::Completed),
             (second, RollOutState::RolledBack),
         ];
         for (end, wanted) in told {
-            let expected = if wanted == stands.state {
-                StateWriteEnd::Stands(stands.changed_at)
+            let expected = if wanted == current.state {
+                StateWriteEnd::Confirmed(current.changed_at)
             } else {
-                StateWriteEnd::EndedAs(stands.state)
+                StateWriteEnd::EndedAs(current.state)
             };
             assert_eq!(end, expected);
         }
--- a/crates/tansylead-route/src/listing.rs
+++ b/crates/tansylead-route/src/entry_state.rs
@@ -23,7 +23,7 @@
 
 /// State of a leaf's entry in the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Listing {
+pub enum EntryState {
     /// The entry exists.
     #[default]
     Listed,
@@ -43,44 +43,44 @@
     Replaced,
 }
 
-/// How a leaf may be used.
+/// Whether a leaf may get requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Eligibility {
     /// Like any other leaf.
     Regular,
     /// Only if the service has no regular leaf.
     LastResort,
     /// Not at all.
-    Gone,
+    Ineligible,
 }
 
-impl Listing {
-    /// How a leaf that never announced that it leaves may be used. A missing leaf is a last resort for
-    /// `grace`, then it is gone.
-    pub fn standing(self, now: Moment, grace: Duration) -> Standing {
+impl EntryState {
+    /// Eligibility of a leaf that never announced that it leaves. A missing leaf is a last resort for `grace`,
+    /// then ineligible.
+    pub fn eligibility(self, now: Moment, grace: Duration) -> Eligibility {
         match self {
-            Self::Listed => Standing::Regular,
-            Self::Replaced => Standing::Gone,
-            Self::Doubtful { since } if now.since(since) < DOUBT_TIME => Standing::LastResort,
-            Self::Doubtful { .. } => Standing::Regular,
+            Self::Listed => Eligibility::Regular,
+            Self::Replaced => Eligibility::Ineligible,
+            Self::Doubtful { since } if now.since(since) < DOUBT_TIME => Eligibility::LastResort,
+            Self::Doubtful { .. } => Eligibility::Regular,
             Self::Missing {
                 since,
                 source_was_away,
             } => {
                 let missing_for = now.since(since);
                 if source_was_away && missing_for < EXPIRED_RETURN_TIME {
-                    Standing::Regular
+                    Eligibility::Regular
                 } else if missing_for < grace {
-                    Standing::LastResort
+                    Eligibility::LastResort
                 } else {
-                    Standing::Gone
+                    Eligibility::Ineligible
                 }
             }
         }
     }
 
     /// The state after the entry has been received again.
-    pub fn after_present(self) -> Self {
+    pub fn after_received(self) -> Self {
         match self {
             Self::Listed | Self::Missing { .. } | Self::Doubtful { .. } => Self::Listed,
             // The entry of a run that has ended may not have been removed yet.
--- a/crates/tansylead-route/src/evacuated_zones.rs
+++ b/crates/tansylead-route/src/evacuated_zones.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether a replica that holds `held` lacks a change that this set has.
-    pub fn is_news_for(&self, held: Option<&Self>) -> bool {
+    pub fn is_update_for(&self, held: Option<&Self>) -> bool {
         held.is_none_or(|held| held.at < self.at && held.zones != self.zones)
     }
 }
--- a/crates/tansylead-route/src/lib.rs
+++ b/crates/tansylead-route/src/lib.rs
@@ -14,6 +14,7 @@
 mod connection_share;
 mod connection_silence;
 mod directory;
+mod entry_state;
 mod evacuated_zones;
 mod failure_rate;
 mod first_read_backoff;
@@ -23,7 +24,6 @@
 mod leaf;
 mod leaf_choice;
 mod leaf_report;
-mod listing;
 mod quarantine;
 mod query_admission;
 mod query_roots;
@@ -48,6 +48,7 @@
 pub use connection_share::{ConnectionShare, DaemonCounts, SharedLeaf};
 pub use connection_silence::{ConnectionSilence, SilenceLimit};
 pub use directory::{DirectoryChange, DirectoryDelta, LeafDirectory};
+pub use entry_state::{Eligibility, EntryState};
 pub use evacuated_zones::{EvacuatedZones, EvacuationOrders};
 pub use failure_rate::FailureRate;
 pub use first_read_backoff::FirstReadBackoff;
@@ -57,7 +58,6 @@
 pub use leaf::{Distance, LeafEntry, LeafLocation, LeafPhase, LeafRun, Locality, RunStart};
 pub use leaf_choice::{Candidate, choose_leaf};
 pub use leaf_report::{LeafReport, ReportedSilence};
-pub use listing::{Listing, Standing};
 pub use quarantine::{
     FingerprintScope, MAXIMUM_RECORDS, Quarantine, QuarantineChange, QuarantineCounts,
     QuarantineRecord, RecentAnswers, RequestFingerprint, RequestFingerprints, RequestIdentity,
--- a/crates/tansylead-route/src/roll_out/cumulative_sum.rs
+++ b/crates/tansylead-route/src/roll_out/cumulative_sum.rs
@@ -7,9 +7,9 @@
 pub(crate) const SUSPECTED: f64 = 2.996;
 /// The same as long as there is time to wait for more answers: 5 times as likely.
 pub(crate) const DOUBTFUL: f64 = 1.609;
-/// Greatest part of [`PROVEN`] that a single look can add, so that a bad version takes at least three looks. A leaf
-/// that crashes fails all its running requests at once.
-const MAXIMUM_PART_PER_LOOK: f64 = 0.4;
+/// Greatest part of [`PROVEN`] that a single evaluation can add, so that it takes at least three to reject a version. A
+/// leaf that crashes fails all its running requests at once.
+const MAXIMUM_PART_PER_EVALUATION: f64 = 0.4;
 
 /// The two hypotheses of a test: the usual share, and one that would be bad.
 #[derive(Debug, Clone, Copy)]
@@ -34,14 +34,14 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct CumulativeSum {
     sum: f64,
-    /// The same sum without a limit on what one look adds: a reason to wait for more answers, not to reject.
+    /// The same sum without a limit on what one evaluation adds: a reason to wait for more answers, not to reject.
     unlimited: f64,
 }
 
 impl CumulativeSum {
-    /// Adds the log-likelihood ratio of the answers since the last look.
+    /// Adds the log-likelihood ratio of the answers since the last evaluation.
     pub(crate) fn add(&mut self, log_ratio: f64) {
-        self.sum = (self.sum + log_ratio.min(PROVEN * MAXIMUM_PART_PER_LOOK)).max(0.0);
+        self.sum = (self.sum + log_ratio.min(PROVEN * MAXIMUM_PART_PER_EVALUATION)).max(0.0);
         self.unlimited = (self.unlimited + log_ratio).max(0.0);
     }
 
@@ -50,7 +50,7 @@
         self.sum >= limit
     }
 
-    /// Whether the sum has reached a limit if a single look may add any amount.
+    /// Whether the sum has reached a limit if a single evaluation may add any amount.
     pub(crate) fn has_reached_unlimited(&self, limit: f64) -> bool {
         self.unlimited >= limit
     }
--- a/crates/tansylead-route/src/roll_out/exposure.rs
+++ b/crates/tansylead-route/src/roll_out/exposure.rs
@@ -40,7 +40,7 @@
 /// Tokens that a daemon holds.
 #[derive(Debug, Clone, Copy)]
 struct HeldTokens {
-    life: u64,
+    boot: u64,
     limit: u64,
     /// Sends to the target version in its last report.
     reported: u64,
@@ -89,11 +89,11 @@
     }
 
     /// Updates a daemon's tokens by the sends that it reports.
-    pub(crate) fn on_report(&mut self, now: Moment, node: NodeId, life: u64, new_sends: u64) {
+    pub(crate) fn on_report(&mut self, now: Moment, node: NodeId, boot: u64, new_sends: u64) {
         let Some(held) = self.held.get_mut(&node) else {
             return;
         };
-        if held.life != life {
+        if held.boot != boot {
             self.unaccounted += held.unused();
             self.held.remove(&node);
         } else if now >= held.expires {
@@ -123,7 +123,7 @@
     /// be used in any stage.
     pub(crate) fn used(&self, now: Moment, totals: &MergedTotals) -> f64 {
         let granted_by_others: u64 = totals
-            .heard(now, GRANT_VALIDITY + GRANT_MARGIN)
+            .recent_reporters(now, GRANT_VALIDITY + GRANT_MARGIN)
             .filter(|(_, reporter)| reporter.follows.is_some_and(|judge| judge != self.judge))
             .map(|(_, reporter)| tokens_ahead(reporter))
             .sum();
@@ -200,7 +200,7 @@
         // An expired limit may have been used up without a report yet.
         let limit = before.map_or(limit, |before| before.limit.max(limit));
         let held = HeldTokens {
-            life: reporter.life,
+            boot: reporter.boot,
             limit,
             reported: reporter.evidence.new_sends,
             expires,
@@ -228,7 +228,7 @@
         let own_turn = self.last_granted.get(&node);
         let busy = || {
             totals
-                .heard(now, REACHABLE_WINDOW)
+                .recent_reporters(now, REACHABLE_WINDOW)
                 .filter(|(_, reporter)| is_busy(reporter))
         };
         let before = busy().filter(|(other, _)| self.last_granted.get(other) < own_turn);
--- a/crates/tansylead-route/src/roll_out/judgement.rs
+++ b/crates/tansylead-route/src/roll_out/judgement.rs
@@ -1,12 +1,12 @@
 //! Comparison of the answers of the target version with those of the old leafs, from successive totals.
 //!
-//! At each look, the answers of both versions since the last look are compared. The share of failures and the share of
+//! Each evaluation compares the answers of both versions since the last one. The share of failures and the share of
 //! late answers are each tested for every route and for all routes together.
 //!
 //! Limits: the counts do not say which leaf answered. A single leaf of the target version that fails for a while looks
-//! like a version that is bad in part; only a failure at a single moment is told apart, because no single look can
-//! reject a version. While all requests go to the target version, there are no answers of old leafs at the same time to
-//! compare with: a fault that begins then and affects any version counts against the new one.
+//! like a version that is bad in part; only a failure at a single moment is told apart, because no single evaluation
+//! can reject a version. While all requests go to the target version, there are no answers of old leafs at the same
+//! time to compare with: a fault that begins then and affects any version counts against the new one.
 
 use super::cumulative_sum::{CumulativeSum, DOUBTFUL, PROVEN, SUSPECTED};
 use super::reference::{Reference, failures_to_test};
@@ -73,7 +73,7 @@
     }
 }
 
-/// Log-likelihood ratios of the answers since the last look.
+/// Log-likelihood ratios of the answers since the last evaluation.
 #[derive(Debug, Clone, Copy, Default)]
 struct LogRatios {
     failing: f64,
@@ -88,7 +88,7 @@
 }
 
 impl RouteJudgement {
-    /// Updates the totals; returns what was added since the last look.
+    /// Updates the totals; returns what was added since the last evaluation.
     fn update(&mut self, span: Duration, totals: &RouteTotals) -> RouteTotals {
         let added = RouteTotals {
             old: totals.old.since(&self.seen.old),
@@ -136,7 +136,7 @@
 
 impl Judgement {
     /// Updates the tests with totals that were taken `span` after the last ones.
-    pub(crate) fn look(&mut self, span: Duration, totals: &Totals) {
+    pub(crate) fn evaluate(&mut self, span: Duration, totals: &Totals) {
         let (mut old, mut old_late) = (SideTotals::default(), SideTotals::default());
         let mut added_new = Vec::with_capacity(totals.routes.len());
         for (route, totals) in &totals.routes {
--- a/crates/tansylead-route/src/roll_out/leadership.rs
+++ b/crates/tansylead-route/src/roll_out/leadership.rs
@@ -8,7 +8,7 @@
 
 /// Age up to which a report counts for who is followed: several report periods of a daemon with few requests.
 pub(crate) const REPORT_WINDOW: Duration = Duration::from_millis(1_500);
-/// A gap between looks, which come four times a second, after which this daemon was frozen and its reports are
+/// A gap between evaluations, which come four times a second, after which this daemon was frozen and its reports are
 /// stale.
 pub(crate) const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
 /// How long a judge that starts during a roll-out, or was frozen, listens before it leads. Daemons that follow another
@@ -52,16 +52,21 @@
         self.listens_since = Some(now);
     }
 
-    /// Whether this judge led at the last look.
+    /// Whether this judge led at the last evaluation.
     pub(crate) fn leads(&self) -> bool {
         self.is_leading
     }
 
     /// Determines whether this judge leads now.
-    pub(crate) fn look(&mut self, now: Moment, context: TrialContext<'_>, totals: &MergedTotals) {
+    pub(crate) fn evaluate(
+        &mut self,
+        now: Moment,
+        context: TrialContext<'_>,
+        totals: &MergedTotals,
+    ) {
         self.update_listed(now, context.members);
         self.is_leading = self.has_listened(now)
-            && self.hears_most_members(now, totals)
+            && self.has_reports_of_most_members(now, totals)
             && self.is_followed(now, context.rank, totals);
     }
 
@@ -74,14 +79,14 @@
 
     /// Whether a majority of the recently listed members has reported recently; this daemon counts in any case.
     /// Otherwise the others may have another judge, and two leading judges would grant twice what the bounds allow.
-    fn hears_most_members(&self, now: Moment, totals: &MergedTotals) -> bool {
-        let was_heard = |member: &NodeId| {
+    fn has_reports_of_most_members(&self, now: Moment, totals: &MergedTotals) -> bool {
+        let has_reported = |member: &NodeId| {
             let reporter = totals.reporter(*member);
-            reporter.is_some_and(|reporter| reporter.was_heard(now, REPORT_WINDOW))
+            reporter.is_some_and(|reporter| reporter.has_reported_within(now, REPORT_WINDOW))
         };
         let members = self.last_listed.keys();
-        let heard = members.filter(|member| **member == self.judge || was_heard(member));
-        heard.count() * 2 > self.last_listed.len()
+        let reporting = members.filter(|member| **member == self.judge || has_reported(member));
+        reporting.count() * 2 > self.last_listed.len()
     }
 
     fn has_listened(&self, now: Moment) -> bool {
@@ -91,19 +96,19 @@
 
     /// Whether most reporters follow this judge, or it is ranked first and nobody follows any judge yet.
     fn is_followed(&self, now: Moment, rank: usize, totals: &MergedTotals) -> bool {
-        let heard = || totals.heard(now, REPORT_WINDOW);
-        let following = heard().filter(|(_, reporter)| reporter.follows == Some(self.judge));
-        let mut reporters = totals.reporters();
-        let nobody_follows = rank == 0 && reporters.all(|reporter| reporter.follows.is_none());
-        following.count() * 2 > heard().count() || nobody_follows
+        let reporters = || totals.recent_reporters(now, REPORT_WINDOW);
+        let following = reporters().filter(|(_, reporter)| reporter.follows == Some(self.judge));
+        let mut all_reporters = totals.reporters();
+        let nobody_follows = rank == 0 && all_reporters.all(|reporter| reporter.follows.is_none());
+        following.count() * 2 > reporters().count() || nobody_follows
     }
 
     /// Whether most daemons have known of the order for longer than this one, which shows that not all were lost.
     pub(crate) fn has_majority_known_longer(&self, now: Moment, totals: &MergedTotals) -> bool {
         let known_here = now.since(self.began);
-        let heard = totals.heard(now, REPORT_WINDOW);
-        let known: Vec<Duration> = heard
-            .map(|(_, reporter)| reporter.known_for + now.since(reporter.heard_at))
+        let reporters = totals.recent_reporters(now, REPORT_WINDOW);
+        let known: Vec<Duration> = reporters
+            .map(|(_, reporter)| reporter.known_for + now.since(reporter.reported_at))
             .collect();
         let longer = known
             .iter()
--- a/crates/tansylead-route/src/roll_out/order.rs
+++ b/crates/tansylead-route/src/roll_out/order.rs
@@ -120,7 +120,7 @@
     }
 
     /// Whether this set has changes that a replica with the mark `held` lacks.
-    pub fn is_news_for(&self, held: Option<RollOutsMark>) -> bool {
+    pub fn is_update_for(&self, held: Option<RollOutsMark>) -> bool {
         held.is_none_or(|held| held.at < self.at && held.digest != self.digest())
     }
 
--- a/crates/tansylead-route/src/roll_out/pace.rs
+++ b/crates/tansylead-route/src/roll_out/pace.rs
@@ -7,25 +7,26 @@
 use super::grant::Stage;
 use std::time::Duration;
 
-/// How long before the deadline the shift begins. Leaves time for a slow source, the loss of a judge or a look that
-/// finds too few answers.
+/// How long before the deadline the shift begins. Leaves time for a slow source, the loss of a judge or an
+/// evaluation that finds too few answers.
 const SHIFT_LEAD: Duration = Duration::from_millis(2_500);
 /// In a short roll-out, the shift takes at most the duration divided by this.
 const SHIFT_LEAD_DIVISOR: u32 = 4;
 /// The trial leaves enough of the allowance to send all requests to the target version for this time: a report period
-/// for the stage to arrive, the attempts in progress on old leafs, the report of their end and a look, all times two.
+/// for the stage to arrive, the attempts in progress on old leafs, the report of their end and an evaluation, all
+/// times two.
 const SHIFT_SECONDS: f64 = 1.0;
 /// Fewest sends that the trial leaves for the shift, so that there are answers under load to judge by.
 const MINIMUM_SHIFT_SENDS: f64 = 28.0;
 /// Shortest time that a shift can take.
 const MINIMUM_SHIFT_SECONDS: f64 = 0.6;
-/// How long before the deadline the judge must conclude: three looks, as attempts may still be in progress on old leafs
-/// at the first, and a write.
+/// How long before the deadline the judge must conclude: three evaluations, as attempts may still be in
+/// progress on old leafs at the first, and a write.
 const CONCLUSION_LEAD: Duration = Duration::from_millis(1_100);
 /// In a short roll-out, this lead is at most the duration divided by this.
 const CONCLUSION_LEAD_DIVISOR: u32 = 10;
-/// Time for which the allowance must still pay for all requests if a shift is to go on: a look and the reports before
-/// it.
+/// Time for which the allowance must still pay for all requests if a shift is to go on: an evaluation and the
+/// reports before it.
 const OBSERVATION_SECONDS: f64 = 0.3;
 /// Part of the allowance that the trial may use at the expense of the shift, as long as a shift of the shortest time
 /// remains possible.
--- a/crates/tansylead-route/src/roll_out/reference.rs
+++ b/crates/tansylead-route/src/roll_out/reference.rs
@@ -112,7 +112,7 @@
 }
 
 impl Reference {
-    /// Adds the answers of old leafs since the last look, `span` ago.
+    /// Adds the answers of old leafs since the last evaluation, `span` ago.
     pub(crate) fn add(&mut self, span: Duration, added: &SideTotals) {
         if added.answers() > 0 {
             self.short.add(span, SHORT_HALF_LIFE, added);
--- a/crates/tansylead-route/src/roll_out/report.rs
+++ b/crates/tansylead-route/src/roll_out/report.rs
@@ -15,9 +15,9 @@
     pub order: OrderId,
     /// The daemon that reports.
     pub reporter: NodeId,
-    /// Incarnation of the daemon. It rises with each restart, which also resets the totals.
-    pub life: u64,
-    /// Rises with each report of one incarnation.
+    /// Identifies the run of the daemon, as in `InstanceId`. It rises with each restart, which also resets the totals.
+    pub boot: u64,
+    /// Rises with each report of one run.
     pub sequence: u64,
     /// How long the daemon has known of the order, in milliseconds.
     pub known_for_millis: u32,
--- a/crates/tansylead-route/src/roll_out/state_write.rs
+++ b/crates/tansylead-route/src/roll_out/state_write.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateWriteEnd {
     /// The source has the wanted state.
-    Stands(Revision),
+    Confirmed(Revision),
     /// The roll-out has ended in another state.
     EndedAs(RollOutState),
     /// The service has another order.
@@ -71,7 +71,7 @@
     /// Name in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Stands(_) => "stands",
+            Self::Confirmed(_) => "stands",
             Self::EndedAs(_) => "ended_otherwise",
             Self::Replaced => "replaced",
             Self::Gone => "gone",
@@ -133,7 +133,7 @@
     pub fn on_write(&mut self, now: Moment, result: Result<WriteEnd, WriteFailure>, random: f64) {
         match result {
             Ok(WriteEnd::Written(revision)) => {
-                self.task = Task::Done(StateWriteEnd::Stands(revision));
+                self.task = Task::Done(StateWriteEnd::Confirmed(revision));
             }
             Ok(WriteEnd::Conflict(found)) => self.on_current(now, found.as_deref(), random),
             Err(WriteFailure::Refused) => self.back_off(now, random),
@@ -185,7 +185,7 @@
         self.task = if found.order != self.roll_out.order {
             Task::Done(StateWriteEnd::Replaced)
         } else if found.state == self.wanted {
-            Task::Done(StateWriteEnd::Stands(found.changed_at))
+            Task::Done(StateWriteEnd::Confirmed(found.changed_at))
         } else if found.state.is_final() {
             Task::Done(StateWriteEnd::EndedAs(found.state))
         } else {
--- a/crates/tansylead-route/src/roll_out/totals.rs
+++ b/crates/tansylead-route/src/roll_out/totals.rs
@@ -1,7 +1,7 @@
 //! Reports of all daemons on one roll-out, merged into totals that never decrease.
 //!
-//! The newest report of each daemon counts, by its incarnation (`life`) and then its sequence number. So lost,
-//! duplicate and late reports do no harm. When a daemon restarts, the totals of its earlier incarnation are kept.
+//! The newest report of each daemon counts: the one of its latest run (`boot`) with the highest sequence number. So
+//! lost, duplicate and late reports do no harm. When a daemon restarts, the totals of its earlier run are kept.
 
 use super::evidence::{LATENCY_BUCKETS, RollOutEvidence, VersionCounts};
 use super::grant::Stage;
@@ -74,7 +74,7 @@
     pub(crate) new: SideTotals,
 }
 
-/// Sums over all daemons and all their incarnations, except for the attempts in progress.
+/// Sums over all daemons and all their runs, except for the attempts in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct Totals {
     pub(crate) requests: u64,
@@ -102,9 +102,9 @@
 /// State of one daemon by its newest report.
 #[derive(Debug, Clone)]
 pub(crate) struct Reporter {
-    pub(crate) life: u64,
+    pub(crate) boot: u64,
     sequence: u64,
-    pub(crate) heard_at: Moment,
+    pub(crate) reported_at: Moment,
     /// Whether there was no report since the freeze of the judge's daemon.
     is_outdated: bool,
     pub(crate) known_for: Duration,
@@ -122,9 +122,9 @@
         let known_for = Duration::from_millis(u64::from(report.known_for_millis));
         let requests = report.evidence.requests;
         Self {
-            life: report.life,
+            boot: report.boot,
             sequence: report.sequence,
-            heard_at: now,
+            reported_at: now,
             is_outdated: false,
             known_for,
             follows: report.follows,
@@ -135,14 +135,14 @@
         }
     }
 
-    /// State by a newer report of the same incarnation, which updates the smoothed rate.
+    /// State by a newer report of the same run, which updates the smoothed rate.
     fn next(&self, now: Moment, report: &RollOutReport) -> Self {
         let mut next = Self::first(now, report);
         let added = next
             .evidence
             .requests
             .saturating_sub(self.evidence.requests);
-        let gap = now.since(self.heard_at).as_secs_f64();
+        let gap = now.since(self.reported_at).as_secs_f64();
         let kept = (-gap / RATE_TIME_CONSTANT.as_secs_f64()).exp();
         // The mean rate since the last report is weighted by the length of that time.
         let weight = if gap > 0.0 {
@@ -156,12 +156,12 @@
     }
 
     fn is_newer(&self, report: &RollOutReport) -> bool {
-        (report.life, report.sequence) > (self.life, self.sequence)
+        (report.boot, report.sequence) > (self.boot, self.sequence)
     }
 
     /// Whether the daemon has reported within `span`.
-    pub(crate) fn was_heard(&self, now: Moment, span: Duration) -> bool {
-        !self.is_outdated && now.since(self.heard_at) <= span
+    pub(crate) fn has_reported_within(&self, now: Moment, span: Duration) -> bool {
+        !self.is_outdated && now.since(self.reported_at) <= span
     }
 }
 
@@ -173,13 +173,13 @@
     evidence
 }
 
-/// The newest report of each daemon, and the totals of earlier incarnations.
+/// The newest report of each daemon, and the totals of earlier runs.
 #[derive(Debug, Default)]
 pub(crate) struct MergedTotals {
     reporters: BTreeMap<NodeId, Reporter>,
     /// Routes counted separately: those that were reported first.
     routes: BTreeSet<u32>,
-    /// Totals of incarnations that have ended.
+    /// Totals of runs that have ended.
     earlier: Totals,
 }
 
@@ -189,7 +189,7 @@
         let held = self.reporters.get(&report.reporter);
         let newest = match held {
             Some(held) if !held.is_newer(report) => return false,
-            Some(held) if held.life == report.life => held.next(now, report),
+            Some(held) if held.boot == report.boot => held.next(now, report),
             Some(held) => {
                 self.earlier.add_permanent(&held.evidence, &self.routes);
                 Reporter::first(now, report)
@@ -219,7 +219,7 @@
         let mut totals = self.earlier.clone();
         for reporter in self.reporters.values() {
             totals.add_permanent(&reporter.evidence, &self.routes);
-            if reporter.was_heard(now, SILENCE_LIMIT) {
+            if reporter.has_reported_within(now, SILENCE_LIMIT) {
                 totals.running_on_new += u64::from(reporter.evidence.running_on_new);
             }
         }
@@ -244,20 +244,20 @@
     }
 
     /// Daemons that have reported within `span`.
-    pub(crate) fn heard(
+    pub(crate) fn recent_reporters(
         &self,
         now: Moment,
         span: Duration,
     ) -> impl Iterator<Item = (NodeId, &Reporter)> {
-        let heard = self.reporters.iter();
-        heard
-            .filter(move |(_, reporter)| reporter.was_heard(now, span))
+        let reporters = self.reporters.iter();
+        reporters
+            .filter(move |(_, reporter)| reporter.has_reported_within(now, span))
             .map(|(node, reporter)| (*node, reporter))
     }
 
     /// Total requests a second of the daemons that are not silent.
     pub(crate) fn rate(&self, now: Moment) -> f64 {
-        self.heard(now, SILENCE_LIMIT)
+        self.recent_reporters(now, SILENCE_LIMIT)
             .map(|(_, reporter)| reporter.rate)
             .sum()
     }
--- a/crates/tansylead-route/src/roll_out/trial.rs
+++ b/crates/tansylead-route/src/roll_out/trial.rs
@@ -20,7 +20,7 @@
 const ANSWERS_UNDER_LOAD: u64 = 40;
 /// How long a shift may go on after the deadline, or may still start once an unavailable source is back.
 const SHIFT_OVERTIME: Duration = Duration::from_secs(4);
-/// Two more looks, in which the end of the latest shift is noticed.
+/// Two more evaluations, in which the end of the latest shift is noticed.
 const OVERTIME_MARGIN: Duration = Duration::from_millis(500);
 /// How long the completion is held back for attempts in progress on old leafs. One that waits for a connection there
 /// may still be sent until its daemon has learned of [`Stage::Commit`].
@@ -39,7 +39,7 @@
     /// How much longer than this daemon the first one has known of the order.
     head_start: Duration,
     requests_at_deadline: Option<u64>,
-    looked_at: Option<Moment>,
+    evaluated_at: Option<Moment>,
     leadership: Leadership,
     stage: Stage,
     shift_began: Option<Moment>,
@@ -67,7 +67,7 @@
             progress: Progress::default(),
             head_start: Duration::ZERO,
             requests_at_deadline: None,
-            looked_at: None,
+            evaluated_at: None,
             leadership: Leadership::new(judge, now, !has_slack),
             stage: Stage::Trial,
             shift_began: None,
@@ -96,12 +96,12 @@
         now.since(self.began) + self.head_start
     }
 
-    /// The counts at the last look, for the log.
+    /// The counts at the last evaluation, for the log.
     pub fn counts(&self) -> TrialCounts {
         TrialCounts::of(&self.sum)
     }
 
-    /// Handles a report. One of an earlier incarnation, or older than the last one, is ignored.
+    /// Handles a report. One of an earlier run of its daemon, or older than the last one, is ignored.
     pub fn on_report(&mut self, now: Moment, report: &RollOutReport) {
         if report.order != self.roll_out.order || !self.totals.on_report(now, report) {
             return;
@@ -112,14 +112,14 @@
         self.has_shift_begun |= report.stage == Some(Stage::Shift);
         let taken_over = self.conclusion.adopt_reported(now, report.stage);
         self.stage = taken_over.unwrap_or(self.stage);
-        let (life, sends) = (report.life, report.evidence.new_sends);
-        self.exposure.on_report(now, report.reporter, life, sends);
+        let (boot, sends) = (report.boot, report.evidence.new_sends);
+        self.exposure.on_report(now, report.reporter, boot, sends);
     }
 
     /// Evaluates the trial; called a few times each second.
-    pub fn look(&mut self, now: Moment, context: TrialContext<'_>) -> TrialVerdict {
+    pub fn evaluate(&mut self, now: Moment, context: TrialContext<'_>) -> TrialVerdict {
         self.refresh(now);
-        self.leadership.look(now, context, &self.totals);
+        self.leadership.evaluate(now, context, &self.totals);
         let is_open = self.conclusion.is_open();
         if is_open && self.leadership.leads() {
             self.advance(now, context);
@@ -153,10 +153,10 @@
     }
 
     /// Daemons that have reported recently, but not this judge's stage; none unless it leads. A grant pushed to them
-    /// after each look saves the time until their next report.
+    /// after each evaluation saves the time until their next report.
     pub fn awaiting_stage(&self, now: Moment) -> Vec<NodeId> {
-        let heard = self.totals.heard(now, REPORT_WINDOW);
-        let differ = heard.filter(|(_, reporter)| reporter.stage != Some(self.stage));
+        let reporters = self.totals.recent_reporters(now, REPORT_WINDOW);
+        let differ = reporters.filter(|(_, reporter)| reporter.stage != Some(self.stage));
         let leads = self.leadership.leads();
         differ.map(|(node, _)| node).filter(|_| leads).collect()
     }
@@ -167,10 +167,10 @@
             self.totals.mark_outdated();
             self.leadership.on_thaw(now);
         }
-        let span = self.looked_at.map_or(Duration::ZERO, |at| now.since(at));
-        self.looked_at = Some(now);
+        let span = self.evaluated_at.map_or(Duration::ZERO, |at| now.since(at));
+        self.evaluated_at = Some(now);
         self.sum = self.totals.sum(now);
-        self.judgement.look(span, &self.sum);
+        self.judgement.evaluate(span, &self.sum);
         let elapsed = self.elapsed(now);
         if elapsed >= self.roll_out.duration {
             self.requests_at_deadline.get_or_insert(self.sum.requests);
@@ -187,15 +187,15 @@
     }
 
     fn was_frozen(&self, now: Moment) -> bool {
-        self.looked_at
+        self.evaluated_at
             .is_some_and(|at| now.since(at) > FREEZE_THRESHOLD)
     }
 
     /// Adopts the stage of the leading judge, so that this one can go on from there.
     fn follow_leader(&mut self, now: Moment) {
-        let heard = || self.totals.heard(now, REPORT_WINDOW);
-        let shifting = heard().filter(|(_, reporter)| reporter.stage == Some(Stage::Shift));
-        if shifting.count() * 2 <= heard().count() {
+        let reporters = || self.totals.recent_reporters(now, REPORT_WINDOW);
+        let shifting = reporters().filter(|(_, reporter)| reporter.stage == Some(Stage::Shift));
+        if shifting.count() * 2 <= reporters().count() {
             self.stage = Stage::Trial;
         } else if self.stage == Stage::Trial {
             self.enter_shift(now);
@@ -308,8 +308,8 @@
         let members = context.members.iter();
         let mut known = members.filter_map(|member| self.totals.reporter(*member));
         known.all(|reporter| {
-            let is_silent = !reporter.was_heard(now, SILENCE_LIMIT);
-            let says_so = reporter.heard_at >= began && reporter.stage == Some(stage);
+            let is_silent = !reporter.has_reported_within(now, SILENCE_LIMIT);
+            let says_so = reporter.reported_at >= began && reporter.stage == Some(stage);
             is_silent || (says_so && reporter.evidence.running_on_old == 0)
         })
     }
--- a/crates/tansylead-route/src/roll_out/verdict.rs
+++ b/crates/tansylead-route/src/roll_out/verdict.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// Result of a judge's look at the trial.
+/// Result of a judge's evaluation of the trial.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TrialVerdict {
     /// Stage for the daemons that follow this judge.
--- a/crates/tansylead-route/tests/restored_source.rs
+++ b/crates/tansylead-route/tests/restored_source.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tansylead_route::{
-    Era, EvacuatedZones, EvacuationOrders, LeafRun, Listing, RemovedLeafs, Revision, RunStart,
-    Standing,
+    Eligibility, EntryState, Era, EvacuatedZones, EvacuationOrders, LeafRun, RemovedLeafs,
+    Revision, RunStart,
 };
 use tansylead_types::{LeafId, Moment, ZoneName};
 
@@ -86,14 +86,14 @@
 
 #[test]
 fn an_entry_that_only_an_older_copy_lists_is_a_last_resort_until_it_has_existed_for_long() {
-    let listing = Listing::Doubtful { since: at(0) };
+    let entry_state = EntryState::Doubtful { since: at(0) };
     assert_eq!(
-        listing.standing(at(5_000), Duration::ZERO),
-        Standing::LastResort
+        entry_state.eligibility(at(5_000), Duration::ZERO),
+        Eligibility::LastResort
     );
     assert_eq!(
-        listing.standing(at(12_000), Duration::ZERO),
-        Standing::Regular
+        entry_state.eligibility(at(12_000), Duration::ZERO),
+        Eligibility::Regular
     );
-    assert_eq!(listing.after_present(), Listing::Listed);
+    assert_eq!(entry_state.after_received(), EntryState::Listed);
 }
--- a/crates/tansylead-route/tests/roll_out_fleet/mod.rs
+++ b/crates/tansylead-route/tests/roll_out_fleet/mod.rs
@@ -10,9 +10,9 @@
 pub const DURATION: Duration = Duration::from_secs(12);
 /// [`DURATION`] in milliseconds.
 pub const DEADLINE: u64 = 12_000;
-/// Time between looks, in milliseconds.
+/// Time between evaluations, in milliseconds.
 const STEP: u64 = 250;
-/// Requests of all daemons between two looks: a hundred a second.
+/// Requests of all daemons between two evaluations: a hundred a second.
 const REQUESTS: u64 = 25;
 /// Latency of each answer of old leafs.
 pub const LATENCY: Duration = Duration::from_millis(10);
@@ -88,7 +88,7 @@
             service: order.service.clone(),
             order: order.order,
             reporter: node(index),
-            life: 1,
+            boot: 1,
             sequence: 0,
             known_for_millis: 0,
             follows: Some(judge()),
@@ -144,7 +144,7 @@
 
     pub fn restart(&mut self, daemon: usize) {
         let report = &mut self.reports[daemon];
-        report.life += 1;
+        report.boot += 1;
         report.sequence = 0;
         report.evidence = Default::default();
         self.grants[daemon] = None;
@@ -166,7 +166,7 @@
         self.reports[daemon].evidence.new_sends
     }
 
-    /// Advances the time without requests, reports or looks.
+    /// Advances the time without requests, reports or evaluations.
     pub fn skip(&mut self, millis: u64) {
         self.millis += millis;
     }
@@ -177,12 +177,12 @@
         }
     }
 
-    /// Advances the time with requests, reports, looks and grants.
+    /// Advances the time with requests, reports, evaluations and grants.
     pub fn run(&mut self, millis: u64) {
         for _ in 0..millis / STEP {
             self.advance(STEP);
             self.report_all();
-            self.look();
+            self.evaluate();
             for daemon in 0..self.reports.len() {
                 self.grant(daemon);
             }
@@ -197,13 +197,13 @@
         }
     }
 
-    pub fn look(&mut self) -> TrialVerdict {
+    pub fn evaluate(&mut self) -> TrialVerdict {
         let context = TrialContext {
             members: &self.members[..self.listed],
             rank: self.rank,
             is_source_fresh: self.is_source_fresh,
         };
-        self.verdict = self.trial.look(at(self.millis), context);
+        self.verdict = self.trial.evaluate(at(self.millis), context);
         self.verdict
     }
 
@@ -220,9 +220,9 @@
 
     pub fn report_all(&mut self) -> Vec<RollOutReport> {
         let daemons = 0..self.reachable;
-        let heard = daemons.filter(|daemon| self.silent != Some(*daemon));
-        let heard: Vec<usize> = heard.collect();
-        heard
+        let reporting = daemons.filter(|daemon| self.silent != Some(*daemon));
+        let reporting: Vec<usize> = reporting.collect();
+        reporting
             .into_iter()
             .map(|daemon| self.report(daemon))
             .collect()
--- a/crates/tansylead-route/tests/roll_out_orders.rs
+++ b/crates/tansylead-route/tests/roll_out_orders.rs
@@ -32,17 +32,17 @@
     assert!(!held.apply(orders(5, Some(RollOutState::Running))));
     assert!(!held.apply(orders(8, None)));
     assert_eq!(held, before);
-    assert!(!held.is_news_for(Some(before.mark())));
+    assert!(!held.is_update_for(Some(before.mark())));
 }
 
 #[test]
 fn a_change_is_news_for_a_replica_that_is_not_as_far() {
     let running = orders(5, Some(RollOutState::Running));
     let back = orders(9, Some(RollOutState::RolledBack));
-    assert!(back.is_news_for(Some(running.mark())));
-    assert!(back.is_news_for(None));
-    assert!(!running.is_news_for(Some(back.mark())));
-    assert!(!orders(9, Some(RollOutState::Running)).is_news_for(Some(running.mark())));
+    assert!(back.is_update_for(Some(running.mark())));
+    assert!(back.is_update_for(None));
+    assert!(!running.is_update_for(Some(back.mark())));
+    assert!(!orders(9, Some(RollOutState::Running)).is_update_for(Some(running.mark())));
 }
 
 #[test]
--- a/crates/tansylead-route/tests/roll_out_state_write.rs
+++ b/crates/tansylead-route/tests/roll_out_state_write.rs
@@ -61,7 +61,7 @@
         Ok(WriteEnd::Written(Revision::first_era(9))),
         NO_JITTER,
     );
-    let end = StateWriteEnd::Stands(Revision::first_era(9));
+    let end = StateWriteEnd::Confirmed(Revision::first_era(9));
     assert_eq!(write.next(now()), WriteStep::Ended(end));
 }
 
@@ -70,7 +70,7 @@
     for (state, end) in [
         (
             RollOutState::Completed,
-            StateWriteEnd::Stands(Revision::first_era(7)),
+            StateWriteEnd::Confirmed(Revision::first_era(7)),
         ),
         (
             RollOutState::RolledBack,
@@ -93,7 +93,7 @@
     assert_eq!(write.next(waited), WriteStep::Read, "still unknown");
     let done = order("first", RollOutState::Completed, 8);
     write.on_read(waited, Ok(Some(&done)), NO_JITTER);
-    let end = StateWriteEnd::Stands(Revision::first_era(8));
+    let end = StateWriteEnd::Confirmed(Revision::first_era(8));
     assert_eq!(write.next(waited), WriteStep::Ended(end));
 }
 
@@ -119,7 +119,7 @@
     let done = order("first", RollOutState::Completed, 8);
     let conflict = WriteEnd::Conflict(Some(Box::new(done)));
     write.on_write(now(), Ok(conflict), NO_JITTER);
-    let end = StateWriteEnd::Stands(Revision::first_era(8));
+    let end = StateWriteEnd::Confirmed(Revision::first_era(8));
     assert_eq!(write.next(now()), WriteStep::Ended(end));
 }
 
@@ -189,7 +189,7 @@
     write.on_news(&order("first", RollOutState::Completed, 6));
     assert_eq!(write.next(now()), WriteStep::Read);
     write.on_news(&order("first", RollOutState::Completed, 8));
-    let end = StateWriteEnd::Stands(Revision::first_era(8));
+    let end = StateWriteEnd::Confirmed(Revision::first_era(8));
     assert_eq!(write.next(now()), WriteStep::Ended(end));
 }
 
@@ -311,7 +311,7 @@
                 WriteStep::Ended(end) => end,
                 other => return Err(TestCaseError::fail(format!("{other:?}"))),
             };
-            prop_assert_eq!(matches!(end, StateWriteEnd::Stands(_)), is_wanted);
+            prop_assert_eq!(matches!(end, StateWriteEnd::Confirmed(_)), is_wanted);
         }
     }
 }
--- a/crates/tansylead-route/tests/roll_out_trial.rs
+++ b/crates/tansylead-route/tests/roll_out_trial.rs
@@ -41,7 +41,7 @@
     fleet.skip(5_000);
     let sent = fleet.sent(0);
     assert_eq!(fleet.trial.grant(fleet.now(), node(0)).limit, sent);
-    fleet.look();
+    fleet.evaluate();
     assert_eq!(fleet.trial.grant(fleet.now(), node(0)).limit, sent);
 }
 
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_restart_keeps_the_totals_of_the_earlier_life() {
+fn a_restart_keeps_the_totals_of_the_earlier_run() {
     let mut fleet = Fleet::new(2);
     fleet.run_until(6_000);
     let before = fleet.counts();
@@ -278,8 +278,8 @@
             for (_, which) in due {
                 other.on_report(fleet.now(), &reports[which % reports.len()]);
             }
-            let verdict = fleet.look();
-            prop_assert_eq!(other.look(fleet.now(), fleet.context()), verdict);
+            let verdict = fleet.evaluate();
+            prop_assert_eq!(other.evaluate(fleet.now(), fleet.context()), verdict);
             let grants = fleet.grant_all();
             let others = (0..4).map(|daemon| other.grant(fleet.now(), node(daemon)));
             prop_assert_eq!(others.collect::<Vec<_>>(), grants);
@@ -289,7 +289,7 @@
     }
 
     /// The sends allowed by all grants together stay within the part of the bound that is handed out, also between
-    /// looks, in whatever order daemons report.
+    /// evaluations, in whatever order daemons report.
     #[test]
     fn grants_stay_within_the_allowance(turns in proptest::collection::vec(0_usize..5, 400)) {
         let mut fleet = Fleet::new(5);
@@ -301,14 +301,14 @@
             fleet.report(*daemon);
             fleet.grant(*daemon);
             if step % 5 == 0 {
-                fleet.look();
+                fleet.evaluate();
             }
             let allowance = 0.85 * (bounds().share * fleet.requests() as f64 + bounds().slack);
             prop_assert!(fleet.granted() as f64 <= allowance, "{} > {allowance}", fleet.granted());
         }
     }
 
-    /// The order of the reports between two looks does not matter.
+    /// The order of the reports between two evaluations does not matter.
     #[test]
     fn the_order_of_daemons_does_not_matter(order in Just((0..6).collect::<Vec<usize>>()).prop_shuffle()) {
         let mut fleet = Fleet::new(6);
@@ -318,8 +318,8 @@
             for daemon in &order {
                 other.on_report(fleet.now(), &sent[*daemon]);
             }
-            let verdict = fleet.look();
-            prop_assert_eq!(other.look(fleet.now(), fleet.context()), verdict);
+            let verdict = fleet.evaluate();
+            prop_assert_eq!(other.evaluate(fleet.now(), fleet.context()), verdict);
             let grants = fleet.grant_all();
             let others = (0..6).map(|daemon| other.grant(fleet.now(), node(daemon)));
             prop_assert_eq!(others.collect::<Vec<_>>(), grants);
--- a/crates/tansylead-route/tests/roll_out_world/daemon.rs
+++ b/crates/tansylead-route/tests/roll_out_world/daemon.rs
@@ -46,7 +46,7 @@
             service: order.service.clone(),
             order: order.order,
             reporter: node(index),
-            life: 1,
+            boot: 1,
             sequence: 0,
             known_for_millis: 0,
             follows: None,
--- a/crates/tansylead-route/tests/roll_out_world/mod.rs
+++ b/crates/tansylead-route/tests/roll_out_world/mod.rs
@@ -19,8 +19,8 @@
 const STEP: u64 = 10;
 /// Number of judges of a roll-out.
 const JUDGES: usize = 3;
-/// Time between looks, in milliseconds.
-const LOOK_PERIOD: u64 = 250;
+/// Time between evaluations, in milliseconds.
+const EVALUATION_PERIOD: u64 = 250;
 /// Longest transit time of a message, in milliseconds.
 const MAXIMUM_TRANSIT: u64 = 20;
 /// Time from a write until every daemon knows of it, in milliseconds.
@@ -38,7 +38,7 @@
     pub service: Service,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Whether judges push grants after each look to daemons that do not report the stage yet.
+    /// Whether judges push grants after each evaluation to daemons that do not report the stage yet.
     pub are_stages_pushed: bool,
     /// When the first judge is killed for good, in milliseconds.
     pub judge_killed_at: Option<u64>,
@@ -166,9 +166,9 @@
             }
         }
         self.deliver(now);
-        if now.is_multiple_of(LOOK_PERIOD) {
+        if now.is_multiple_of(EVALUATION_PERIOD) {
             for judge in 0..self.judges.len() {
-                self.look(judge, now);
+                self.evaluate(judge, now);
             }
         }
         self.check_bound();
@@ -225,7 +225,7 @@
         self.send(now, Message::Grant(index_of(report.reporter), judge, grant));
     }
 
-    fn look(&mut self, judge: usize, now: u64) {
+    fn evaluate(&mut self, judge: usize, now: u64) {
         if self.is_killed(judge, now) {
             return;
         }
@@ -238,7 +238,7 @@
             rank: judge - first,
             is_source_fresh: outage.is_none_or(|(from, to)| now < from || now >= to),
         };
-        let verdict = self.judges[judge].look(at(now), context);
+        let verdict = self.judges[judge].evaluate(at(now), context);
         if self.scenario.are_stages_pushed {
             self.push_stage(judge, now);
         }
