--- a/crates/tansylead-cluster/src/membership/sync.rs
+++ b/crates/tansylead-cluster/src/membership/sync.rs
@@ -1,4 +1,4 @@
-//! RecordAge of whole member tables with a peer, page by page: how a daemon joins, and how it
+//! Comparison of whole member tables with a peer, page by page: how a daemon joins, and how it
 //! recovers records that gossip lost (anti-entropy).
 //!
 //! A comparison requests a summary from one peer, then the pages of each place whose hash differs,
@@ -45,6 +45,8 @@
     /// Comparisons completed with peers that have not joined themselves.
     pub(super) unjoined_comparisons: u32,
     /// Start of the period in which all packets from peers of a place showed another table hash.
+    /// Kept per place: otherwise peers of the own place that agree would hide that another place
+    /// differs.
     pub(super) mismatch_since: BTreeMap<PlaceName, Moment>,
     /// Join attempts made.
     pub(super) join_attempts: u32,
--- a/crates/tansylead-table/tests/accept/main.rs
+++ b/crates/tansylead-table/tests/accept/main.rs
@@ -1,4 +1,4 @@
-//! AcceptanceTest: no wrong outcome and no change applied twice, whichever answers are lost.
+//! Acceptance: no wrong outcome and no change applied twice, whichever answers are lost.
 
 mod world;
 
@@ -184,7 +184,7 @@
 
 #[test]
 fn an_own_change_is_found_after_others_have_overwritten_it() {
-    // The proposal's change made generation 8; 3 others have followed, or 70.
+    // The proposal's change created generation 8; 3 others have followed, or 70.
     let outcome = finished(read(&mut start("change-8", 0), stored(11, vec![])));
     assert_eq!(
         outcome,
--- a/crates/tansylead-table/tests/accept/world.rs
+++ b/crates/tansylead-table/tests/accept/world.rs
@@ -193,7 +193,7 @@
                 AcceptAction::Write(write) => Some(*write),
                 AcceptAction::Finish(outcome) => {
                     self.operators[operator].run = None;
-                    self.note_outcome(operator, run, *outcome);
+                    self.record_outcome(operator, run, *outcome);
                     continue;
                 }
             };
@@ -206,7 +206,7 @@
         }
     }
 
-    fn note_outcome(&mut self, operator: usize, run: u64, outcome: AcceptOutcome) {
+    fn record_outcome(&mut self, operator: usize, run: u64, outcome: AcceptOutcome) {
         let proposal = self.operators[operator].proposal.as_ref();
         let change = proposal.expect("has proposed").change.clone();
         match outcome {
@@ -342,7 +342,10 @@
                 let before = self.applied[..index].iter().map(|earlier| &earlier.change);
                 let recorded = table.recent_changes.iter().map(|recorded| &recorded.change);
                 if !recorded.eq(before.chain([&stored.change])) {
-                    return Err(format!("{} was not made from its base", stored.change));
+                    return Err(format!(
+                        "{} does not record exactly the changes before it",
+                        stored.change
+                    ));
                 }
             }
         }
