--- a/crates/tansylead-cluster/src/claims/adopted_view.rs
+++ b/crates/tansylead-cluster/src/claims/adopted_view.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Handovers for a view that this daemon has not learned yet: its members often ask for claims
-/// before that.
+/// Members of a view that copied their claims from this daemon before it learned that view. They
+/// often ask that early.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EarlyHandover {
     epoch: u64,
--- a/crates/tansylead-cluster/src/claims/transfer.rs
+++ b/crates/tansylead-cluster/src/claims/transfer.rs
@@ -43,7 +43,7 @@
     /// Starts for a newly adopted view. `own_complete_epochs` are the epochs in which this member
     /// held all claims of its keys; it is its own source for views that it belonged to.
     pub(super) fn new(
-        me: InstanceId,
+        own_instance: InstanceId,
         view: &ClaimView,
         generation: u64,
         own_complete_epochs: &BTreeSet<u64>,
@@ -53,7 +53,7 @@
         let mut sources: BTreeMap<InstanceId, Source> = members
             .map(|member| (member.instance, Source::Unanswered))
             .collect();
-        if let Some(own) = sources.get_mut(&me) {
+        if let Some(own) = sources.get_mut(&own_instance) {
             *own = Source::Copied {
                 complete_epochs: own_complete_epochs.clone(),
             };
--- a/crates/tansylead-cluster/src/membership/joining.rs
+++ b/crates/tansylead-cluster/src/membership/joining.rs
@@ -37,7 +37,7 @@
 /// taken to be known.
 const MATCHING_PACKETS_LIMIT: u32 = 8;
 
-/// Typical size of a summary packet.
+/// Typical size of a summary packet, counted against the limit on bulk bytes.
 const SUMMARY_BYTES: usize = 250;
 
 /// Machines of the machine list pinged per join attempt.
@@ -234,7 +234,8 @@
         }
     }
 
-    /// Requests the next page or completes the comparison; returns the time to the next step.
+    /// Requests the next page, completes the comparison, or gives it up after too many requests for
+    /// one page; returns the time to the next step.
     fn request_next_page(
         &mut self,
         now: Moment,
--- a/crates/tansylead-cluster/src/membership/machine.rs
+++ b/crates/tansylead-cluster/src/membership/machine.rs
@@ -299,10 +299,10 @@
         let Some(due) = self.timers.next() else {
             return;
         };
-        let late = now.since(due);
-        if late > PAUSE_TOLERANCE {
+        let lag = now.since(due);
+        if lag > PAUSE_TOLERANCE {
             self.counters.pauses += 1;
-            self.timers.delay_all(late);
+            self.timers.delay_all(lag);
         }
     }
 }
--- a/crates/tansylead-cluster/src/membership/packet.rs
+++ b/crates/tansylead-cluster/src/membership/packet.rs
@@ -16,7 +16,7 @@
     pub hash: u64,
 }
 
-/// Matches an acknowledgement or reply to its request; unique within the requesting daemon.
+/// Matches an acknowledgement or reply to its request; meaningful only to the requesting daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Sequence(pub u32);
 
--- a/crates/tansylead-cluster/src/membership/pages.rs
+++ b/crates/tansylead-cluster/src/membership/pages.rs
@@ -29,8 +29,8 @@
     {
         let zone = zone_index(&page.zones, &record.zone);
         let member = page_member(record, zone);
-        let new_zone = zone == page.zones.len();
-        let zone_bytes = if new_zone {
+        let is_new_zone = zone == page.zones.len();
+        let zone_bytes = if is_new_zone {
             name_bytes(record.zone.as_str())
         } else {
             0
@@ -41,7 +41,7 @@
             break;
         }
         budget -= bytes;
-        if new_zone {
+        if is_new_zone {
             page.zones.push(record.zone.clone());
         }
         page.members.push(member);
--- a/crates/tansylead-cluster/src/membership/probing.rs
+++ b/crates/tansylead-cluster/src/membership/probing.rs
@@ -260,8 +260,8 @@
     }
 
     fn expire(&mut self, node: NodeId, version: (u64, u64), actions: &mut Vec<MembershipAction>) {
-        let gone = [MemberState::Failed, MemberState::Left];
-        if self.held_in_state(node, version, &gone).is_some() {
+        let departed = [MemberState::Failed, MemberState::Left];
+        if self.held_in_state(node, version, &departed).is_some() {
             let forgotten = self.table.remove(node);
             actions.extend(forgotten.map(MembershipAction::Forgotten));
         }
--- a/crates/tansylead-cluster/src/membership/receive.rs
+++ b/crates/tansylead-cluster/src/membership/receive.rs
@@ -36,6 +36,7 @@
         }
         self.counters.packets_received += 1;
         if self.apply_record(now, sender, actions) == RecordAge::Newer {
+            // Also while joining: the sender's own record may not have spread yet.
             self.queue_update(now, peer);
         }
         self.reprobe_unreachable_place(now, sender);
--- a/crates/tansylead-cluster/src/membership/settings.rs
+++ b/crates/tansylead-cluster/src/membership/settings.rs
@@ -11,10 +11,11 @@
     pub direct_timeout: Duration,
     /// Helpers asked to probe a silent member.
     pub indirect_probes: usize,
-    /// A suspicion lasts this many probe periods, times the decimal logarithm of the place's size.
+    /// A suspicion lasts this many probe periods, times the decimal logarithm of the place's size
+    /// (at least 1).
     pub suspicion_multiplier: f64,
     /// A record is sent this many times as an update, times the decimal logarithm of the cluster
-    /// size.
+    /// size, and once more.
     pub retransmit_multiplier: f64,
     /// Period of probes to each other place.
     pub remote_probe_period: Duration,
--- a/crates/tansylead-cluster/src/membership/sizes.rs
+++ b/crates/tansylead-cluster/src/membership/sizes.rs
@@ -10,6 +10,7 @@
 const IPV4_BYTES: usize = 4;
 const IPV6_BYTES: usize = 16;
 const LONGEST_NUMBER_BYTES: usize = 10;
+// A varint-encoded port takes up to 3 bytes.
 const LONGEST_ADDRESS_BYTES: usize = VARIANT_BYTES + IPV6_BYTES + 3;
 const LENGTH_BYTES: usize = 2;
 
--- a/crates/tansylead-cluster/src/membership/table.rs
+++ b/crates/tansylead-cluster/src/membership/table.rs
@@ -26,7 +26,8 @@
 #[derive(Debug, Default)]
 pub(super) struct PlaceMembers {
     pub(super) running: NodeSet,
-    /// All members in any state.
+    /// All members in any state. Pages contain those that have failed or left too, so that a peer
+    /// learns of a failure that it missed during a partition.
     known: BTreeSet<NodeId>,
     hash: u64,
 }
--- a/crates/tansylead-cluster/src/routing/serving_set.rs
+++ b/crates/tansylead-cluster/src/routing/serving_set.rs
@@ -7,7 +7,7 @@
 //! - slots x connections per root x [`MEMBERSHIP_VIEWS`] stays under every leaf's connection limit;
 //! - with at least two slots and two zones the roots are never all in one zone;
 //! - losing a member or a zone moves no slot held by a member of another zone, except a slot that
-//!   the member holds in place of a zone without members;
+//!   the member holds in place of a zone without members, or with far fewer than the others;
 //! - equal inputs, in any order, give equal sets.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/tansylead-cluster/src/spread/puller.rs
+++ b/crates/tansylead-cluster/src/spread/puller.rs
@@ -1,7 +1,7 @@
 //! Selection of the peer to pull from, and timeouts of pulls.
 //!
-//! Invariants: at most one pull is open; peers known to hold more are tried in turn; memory is
-//! bounded by [`MAXIMUM_SOURCES`].
+//! Invariants: at most one pull is open; after each pull another of the peers known to hold more is
+//! tried; memory is bounded by [`MAXIMUM_SOURCES`].
 
 use super::settings::SpreadSettings;
 use crate::membership::ConfigDigest;
@@ -64,7 +64,8 @@
         self.sources.remove(&peer);
     }
 
-    /// Closes the open pull if it is this one; a late answer to an earlier pull does not.
+    /// Closes the open pull if it is this one; a late answer to an earlier pull does not. Either
+    /// way the peer is no source again until it shows its digest.
     pub(super) fn finish(&mut self, pull: Pull, error: Option<String>) {
         if self.open.as_ref().is_some_and(|open| open.pull == pull) {
             self.open = None;
--- a/crates/tansylead-cluster/src/spread/store_reader.rs
+++ b/crates/tansylead-cluster/src/spread/store_reader.rs
@@ -119,6 +119,8 @@
         random: &mut impl Rng,
     ) {
         if self.failures > 0 {
+            // The store may have been restored from a backup during the outage. The delay keeps the
+            // readers from all reading everything at once.
             let delay = settings.recovery_spread.mul_f64(random.random());
             self.next_full_read = self.next_full_read.min(now + delay);
         }
@@ -127,6 +129,7 @@
             .position
             .is_some_and(|position| store_revision < position)
         {
+            // The store was restored from a backup.
             self.next_full_read = now;
         }
         self.position = Some(store_revision);
--- a/crates/tansylead-types/src/config.rs
+++ b/crates/tansylead-types/src/config.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitPolicy {
-    /// Use the whole deadline to get a complete answer (dispute files).
+    /// Use the whole deadline to get a complete answer (for example, for dispute files).
     WholeDeadline,
     /// Return a partial answer this long after the start, if the minimum coverage is reached.
     EarlyPartial {
