--- a/crates/tansylead-cluster/tests/claims_rules.rs
+++ b/crates/tansylead-cluster/tests/claims_rules.rs
@@ -237,9 +237,9 @@
         let mut members: Vec<ClaimMember> = (0..3).map(|_| lone_member(settings.clone())).collect();
         let mut roots: Vec<(ClaimRequester, Vec<ClaimRequesterAction>)> = (0..3)
             .map(|root| {
-                let (me, seed) = (instance(20 + root, 1), round * 10 + u64::from(root));
+                let (own, seed) = (instance(20 + root, 1), round * 10 + u64::from(root));
                 let terms = terms.clone();
-                ClaimRequester::start(me, settings.clone(), &view, terms, seed, time_at(0))
+                ClaimRequester::start(own, settings.clone(), &view, terms, seed, time_at(0))
             })
             .collect();
         for (root, (_, actions)) in roots.iter_mut().enumerate() {
--- a/crates/tansylead-cluster/tests/claims_simulation.rs
+++ b/crates/tansylead-cluster/tests/claims_simulation.rs
@@ -1,5 +1,5 @@
-//! Simulation of claims under faults: each key runs at most once, and keys run again once faults
-//! stop. `CLAIM_SEEDS=from..to` selects other seeds, for longer runs by hand.
+//! Simulation of claims under faults: each key runs at most once, and once faults have stopped
+//! every new key runs. `CLAIM_SEEDS=from..to` selects other seeds, for longer runs by hand.
 
 mod claims_world;
 
--- a/crates/tansylead-cluster/tests/claims_world/daemon.rs
+++ b/crates/tansylead-cluster/tests/claims_world/daemon.rs
@@ -163,8 +163,8 @@
     pub(super) fn tick(&mut self, node: usize) {
         let time = self.time(node);
         if self.now >= self.daemons[node].next_configuration {
-            // This variant differs only between daemons in different views, so some daemons learn
-            // views late.
+            // The missing epoch check does harm only between daemons in different views, so some
+            // daemons learn views late.
             let is_slow = self.plan.variant == Variant::NoEpochCheck && node.is_multiple_of(3);
             let longest = if is_slow { 20_000 } else { 500 };
             let jitter = self.random.random_range(0..longest) * MILLIS;
--- a/crates/tansylead-cluster/tests/common/mod.rs
+++ b/crates/tansylead-cluster/tests/common/mod.rs
@@ -112,6 +112,7 @@
     pub loss: f64,
     pub duplication: f64,
     pub extra_delay_micros: u64,
+    /// Pairs of places that cannot reach each other.
     pub cuts: BTreeSet<(PlaceName, PlaceName)>,
     /// Pairs of daemons whose link is cut.
     pub links: BTreeSet<(NodeId, NodeId)>,
--- a/crates/tansylead-cluster/tests/judge_ranking.rs
+++ b/crates/tansylead-cluster/tests/judge_ranking.rs
@@ -60,11 +60,11 @@
     }
 
     #[test]
-    fn the_order_of_the_members_does_not_matter(members in fleet(), turn in 0_usize..30) {
-        let mut turned = members.clone();
-        turned.rotate_left(turn % members.len());
-        turned.reverse();
-        prop_assert_eq!(judges(&service(1), &members), judges(&service(1), &turned));
+    fn the_order_of_the_members_does_not_matter(members in fleet(), offset in 0_usize..30) {
+        let mut reordered = members.clone();
+        reordered.rotate_left(offset % members.len());
+        reordered.reverse();
+        prop_assert_eq!(judges(&service(1), &members), judges(&service(1), &reordered));
     }
 
     #[test]
--- a/crates/tansylead-cluster/tests/place_choice.rs
+++ b/crates/tansylead-cluster/tests/place_choice.rs
@@ -72,7 +72,7 @@
     Room,
     Full,
     Refusing,
-    Gone,
+    Unreachable,
 }
 
 proptest! {
@@ -88,7 +88,7 @@
         rows in proptest::collection::vec((0u32..3, 0u32..3), 3),
         known in proptest::collection::vec(
             proptest::sample::select(vec![
-                Known::Nothing, Known::Room, Known::Full, Known::Refusing, Known::Gone,
+                Known::Nothing, Known::Room, Known::Full, Known::Refusing, Known::Unreachable,
             ]), 3),
         own in 0usize..3,
         seed in any::<u64>(),
@@ -105,7 +105,7 @@
                 Known::Room => places.on_report(NOW, &name, root, report(3.0)),
                 Known::Full => places.on_report(NOW, &name, root, report(0.0)),
                 Known::Refusing => places.on_refusal(NOW, &name, root, Duration::from_secs(1)),
-                Known::Gone => places.set_roots(&name, []),
+                Known::Unreachable => places.set_roots(&name, []),
             }
         }
         let mut random = StdRng::seed_from_u64(seed);
@@ -119,7 +119,7 @@
                 let room = match known[number] {
                     Known::Nothing | Known::Room => true,
                     Known::Full | Known::Refusing => is_late,
-                    Known::Gone => false,
+                    Known::Unreachable => false,
                 };
                 is_enabled && room
             };
@@ -237,9 +237,9 @@
         }
     ));
     places.set_roots(&place("bangkok"), []);
-    let cut = choose(7, "phuket", &table, &places);
+    let unreachable = choose(7, "phuket", &table, &places);
     assert!(matches!(
-        cut,
+        unreachable,
         PlaceChoice::Refuse {
             cause: RefuseCause::NoRootReachable,
             ..
@@ -254,15 +254,15 @@
     places.on_report(NOW, &name, first, report(30.0));
     places.on_report(NOW, &name, second, report(10.0));
     let mut random = StdRng::seed_from_u64(3);
-    let stranger = root(2, 9);
+    let non_root = root(2, 9);
     let mut draw =
         |own: NodeId, places: &ServicePlaces| choose_root(NOW, own, &name, places, &mut random);
-    let to_first = (0..10_000).filter(|_| draw(stranger, &places) == Some(first));
+    let to_first = (0..10_000).filter(|_| draw(non_root, &places) == Some(first));
     let share = to_first.count() as f64 / 10_000.0;
     assert!((0.73..0.77).contains(&share), "{share}");
     assert_eq!(draw(second, &places), Some(second));
     places.on_refusal(NOW, &name, second, Duration::from_secs(1));
     assert_eq!(draw(second, &places), Some(first));
     places.on_report(NOW, &name, first, report(0.0));
-    assert_eq!(draw(stranger, &places), None);
+    assert_eq!(draw(non_root, &places), None);
 }
