--- a/crates/tansylead-cluster/src/membership/joining.rs
+++ b/crates/tansylead-cluster/src/membership/joining.rs
@@ -25,7 +25,7 @@
 const JOIN_BACKOFF_STEPS: u32 = 4;
 
 /// Period of contacts with seeds that are not members, as a multiple of the join period.
-const REMINDER_FACTOR: u32 = 10;
+const MISSING_SEED_FACTOR: u32 = 10;
 
 /// Number of first join attempts that ask only seeds.
 const SEED_ONLY_ATTEMPTS: u32 = 2;
@@ -75,7 +75,7 @@
         if self.sync.joined && !is_alone {
             let seed = self.choose_missing_seed();
             self.request_summary(now, seed, actions);
-            return self.jittered(self.settings.join_period * REMINDER_FACTOR);
+            return self.jittered(self.settings.join_period * MISSING_SEED_FACTOR);
         }
         if is_alone {
             self.ping_listed_nodes(now, actions);
@@ -280,7 +280,7 @@
             actions.push(MembershipAction::Joined);
         }
         if self.sync.joined {
-            self.jittered(self.settings.join_period * REMINDER_FACTOR)
+            self.jittered(self.settings.join_period * MISSING_SEED_FACTOR)
         } else {
             self.jittered(self.settings.join_period / 2)
         }
