--- a/crates/tansylead-route/examples/roll_out_table.rs
+++ b/crates/tansylead-route/examples/roll_out_table.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/roll_out_world/mod.rs"]
 mod roll_out_world;
 
-use roll_out_world::{BOUNDS, Defect, Outcome, Scenario, Service, SharedFault, simulate};
+use roll_out_world::{BOUNDS, Defect, Outcome, Scenario, Service, UnrelatedFault, simulate};
 use std::time::Duration;
 use tansylead_route::Conclusion;
 
@@ -29,7 +29,7 @@
             usual_failures: 0.01,
             starts_after: 1_000,
             defect: Defect::default(),
-            shared_fault: None,
+            unrelated_fault: None,
         },
         loss: 0.01,
         are_stages_pushed: true,
@@ -98,7 +98,7 @@
         good(rate);
         bad(rate);
         slow(rate);
-        with_shared_fault(rate);
+        with_unrelated_fault(rate);
         without_judge_or_source(rate);
     }
 }
@@ -152,8 +152,8 @@
 }
 
 /// Faults that the target version does not cause, mostly for a fifth of the time.
-fn with_shared_fault(rate: (f64, f64)) {
-    let fault = |seconds: u64, new_failing: f64, old_failing: f64, slow: f64| SharedFault {
+fn with_unrelated_fault(rate: (f64, f64)) {
+    let fault = |seconds: u64, new_failing: f64, old_failing: f64, slow: f64| UnrelatedFault {
         from: seconds * 400,
         to: seconds * 600,
         old_failing,
@@ -164,21 +164,21 @@
         "good, both fail 0.3 for a fifth",
         rate,
         &|scenario, seconds| {
-            scenario.service.shared_fault = Some(fault(seconds, 0.3, 0.3, 1.0));
+            scenario.service.unrelated_fault = Some(fault(seconds, 0.3, 0.3, 1.0));
         },
     );
     row(
         "good, both slow 5 for a fifth",
         rate,
         &|scenario, seconds| {
-            scenario.service.shared_fault = Some(fault(seconds, 0.0, 0.0, 5.0));
+            scenario.service.unrelated_fault = Some(fault(seconds, 0.0, 0.0, 5.0));
         },
     );
     row(
         "good, one of six new leafs fails for a fifth",
         rate,
         &|scenario, seconds| {
-            scenario.service.shared_fault = Some(fault(seconds, 0.17, 0.0, 1.0));
+            scenario.service.unrelated_fault = Some(fault(seconds, 0.17, 0.0, 1.0));
         },
     );
     row(
@@ -187,7 +187,7 @@
         &|scenario, seconds| {
             let crash = fault(seconds, 0.17, 0.0, 1.0);
             let to = crash.from + 1_000;
-            scenario.service.shared_fault = Some(SharedFault { to, ..crash });
+            scenario.service.unrelated_fault = Some(UnrelatedFault { to, ..crash });
         },
     );
 }
--- a/crates/tansylead-route/src/entry_state.rs
+++ b/crates/tansylead-route/src/entry_state.rs
@@ -1,10 +1,10 @@
-//! Whether a leaf is listed in the directory, and how a leaf may be used whose entry is missing.
+//! State of a leaf's directory entry, and whether a leaf whose entry is missing may still get requests.
 //!
-//! A leaf that stops in order announces first that it leaves. An entry that disappears without that does not
-//! prove that the leaf is dead: it disappears when the leaf has crashed, when it leaves without an announcement,
-//! and also when the source was unreachable for so long that the entry expired. In that last case the entry is
-//! back soon after the source returns, if the leaf lives. Until then the leaf's own answers are better evidence
-//! than the directory.
+//! A leaf that shuts down in an orderly way first announces that it leaves. An entry that disappears without that
+//! does not prove that the leaf is dead: it disappears when the leaf has crashed, when it leaves without an
+//! announcement, and also when the source was unreachable for so long that the entry expired. In that last case
+//! the entry is back soon after the source returns, if the leaf is alive. Until then the leaf's own answers are
+//! better evidence than the directory.
 //!
 //! A source that is restored from an older copy has lost what leafs wrote since, and lists leafs that were gone.
 //! Lost entries are treated like expired ones. Entries that reappear are doubtful until they have existed for
@@ -43,7 +43,7 @@
     Replaced,
 }
 
-/// Whether a leaf may get requests.
+/// Whether a leaf may get requests; the most eligible sorts first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Eligibility {
     /// Like any other leaf.
@@ -83,7 +83,7 @@
     pub fn after_received(self) -> Self {
         match self {
             Self::Listed | Self::Missing { .. } | Self::Doubtful { .. } => Self::Listed,
-            // The entry of a run that has ended may not have been removed yet.
+            // The run has ended, and its entry has only not been removed yet.
             Self::Replaced => Self::Replaced,
         }
     }
--- a/crates/tansylead-route/src/leaf_report.rs
+++ b/crates/tansylead-route/src/leaf_report.rs
@@ -73,9 +73,9 @@
     /// Records that this daemon has found the leaf silent; its circuit breaker decides how it uses the
     /// leaf itself. Returns whether to report it: not if another daemon has just done so.
     pub fn on_found_silent(&mut self, now: Moment) -> bool {
-        let is_news = !self.is_silent(now);
-        self.has_reported |= is_news;
-        is_news
+        let is_unreported = !self.is_silent(now);
+        self.has_reported |= is_unreported;
+        is_unreported
     }
 
     /// Handles a report that the leaf answers again.
--- a/crates/tansylead-route/src/quarantine/recent_answers.rs
+++ b/crates/tansylead-route/src/quarantine/recent_answers.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// Takes four bit positions from the fingerprint, which is a hash already. With two positions, one of nine daemons
-/// wrongly took a request for answered in 1 of 70 cases, and one such daemon clears the request on all.
+/// Takes four bit positions from the fingerprint, which is a hash already. With two positions, in 1 of 70 cases one of
+/// nine daemons wrongly took a request for answered, and one such daemon clears the request on all.
 fn bits(fingerprint: RequestFingerprint) -> [usize; 4] {
     [8, 38, 68, 98].map(|shift| (fingerprint.0 >> shift) as usize % BITS)
 }
--- a/crates/tansylead-route/src/quarantine/record.rs
+++ b/crates/tansylead-route/src/quarantine/record.rs
@@ -22,8 +22,8 @@
 /// Events that the successive strikes must span. A request that merely runs beside the cause of one event may be
 /// struck several times during it, but is answered before the next.
 const QUARANTINE_EVENTS: usize = 2;
-/// Length of the first quarantine; each further one is twice as long. Afterwards the request is tried on one leaf:
-/// a request that was quarantined wrongly is served again, and a fatal one ends a single leaf.
+/// Length of the first quarantine; each further one is twice as long as the one before. Afterwards the request is tried
+/// on one leaf: a request that was quarantined wrongly is served again, and a fatal one ends a single leaf.
 const INITIAL_QUARANTINE: Duration = Duration::from_secs(120);
 /// Most doublings of the quarantine, which is then about an hour long.
 const MAXIMUM_DOUBLINGS: u32 = 5;
--- a/crates/tansylead-route/src/quarantine/table.rs
+++ b/crates/tansylead-route/src/quarantine/table.rs
@@ -72,11 +72,13 @@
 
     /// The strictest of the verdicts on a request's fingerprints.
     pub fn strictest_verdict(&self, now: Moment, request: &RequestFingerprints) -> Verdict {
-        let verdicts = request.all().map(|own| self.verdict(now, own));
+        let verdicts = request
+            .all()
+            .map(|fingerprint| self.verdict(now, fingerprint));
         verdicts.into_iter().max().unwrap_or(Verdict::Clear)
     }
 
-    /// Notes an answer, which speaks for all similar requests.
+    /// Remembers that a request was answered. For some time, no record is kept against similar requests.
     pub fn note_answered(&mut self, now: Moment, request: &RequestFingerprints) {
         self.answered.add(now, request.path);
         self.answered.add(now, request.content);
@@ -247,15 +249,15 @@
 
     /// Removes expired records. Returns the fingerprints of those that had been quarantined.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<RequestFingerprint> {
-        let mut forgotten = Vec::new();
+        let mut expired = Vec::new();
         self.records.retain(|fingerprint, record| {
             let is_expired = record.is_expired(now);
             if is_expired && record.times_quarantined > 0 {
-                forgotten.push(*fingerprint);
+                expired.push(*fingerprint);
             }
             !is_expired
         });
-        forgotten
+        expired
     }
 
     fn update(
@@ -296,10 +298,10 @@
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
         };
-        let is_again = record.times_quarantined > 0 && before == Verdict::Suspect;
+        let is_repeated = record.times_quarantined > 0 && before == Verdict::Suspect;
         let is_first =
             record.times_quarantined == 0 && record.warrants_quarantine(fingerprint.scope());
-        if !record.is_cleared() && (is_again || is_first) {
+        if !record.is_cleared() && (is_repeated || is_first) {
             record.quarantine(now);
         }
     }
--- a/crates/tansylead-route/src/query_admission.rs
+++ b/crates/tansylead-route/src/query_admission.rs
@@ -7,7 +7,7 @@
 //! of them, and raises the share as queries succeed or time passes.
 //!
 //! Invariants: a caller that retries after a refusal is never refused again; the share never falls below
-//! [`LEAST_SHARE`], so that the effect of admitting fewer is always observed, and queries continue if the
+//! [`MINIMUM_SHARE`], so that the effect of admitting fewer is always observed, and queries continue if the
 //! cause is a different one.
 
 use std::time::Duration;
@@ -24,7 +24,7 @@
 const RECOVERY_PER_SECOND: f64 = 0.05;
 /// Minimum share of the queries that is admitted. Trials at 0.2 and 0.4 changed other constants as well,
 /// so the effect of this one alone is unknown.
-const LEAST_SHARE: f64 = 0.3;
+const MINIMUM_SHARE: f64 = 0.3;
 /// A caller whose time left is below this share of the longest one seen is retrying: callers retry after
 /// up to a third of their time.
 const FIRST_ATTEMPT_SHARE: f64 = 0.9;
@@ -95,7 +95,7 @@
     /// Records a query that missed its objective while full leafs refused parts of it.
     pub fn on_overload(&mut self, now: Moment) -> Option<AdmissionChange> {
         self.recover(now);
-        self.share = (self.share * DECREASE).max(LEAST_SHARE);
+        self.share = (self.share * DECREASE).max(MINIMUM_SHARE);
         let is_news = !std::mem::replace(&mut self.is_lowered, true);
         is_news.then_some(AdmissionChange::Lowered)
     }
--- a/crates/tansylead-route/src/query_roots.rs
+++ b/crates/tansylead-route/src/query_roots.rs
@@ -19,7 +19,7 @@
 /// that asks answers sooner by itself.
 const BUSY_SHARE: f64 = 0.5;
 /// With fewer roots a region would depend on a single machine.
-const LEAST_ROOTS: usize = 2;
+const MINIMUM_ROOTS: usize = 2;
 
 /// A daemon of a region that may become a root.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     let is_large = |candidate: &&RootCandidate<T>| f64::from(candidate.capacity) >= threshold;
     let large: Vec<&RootCandidate<T>> = candidates.iter().filter(is_large).collect();
     let are_alike = large.len() == candidates.len();
-    let are_too_few = large.len() < LEAST_ROOTS;
+    let are_too_few = large.len() < MINIMUM_ROOTS;
     if are_alike || are_too_few {
         return Vec::new();
     }
--- a/crates/tansylead-route/src/roll_out/conclusion.rs
+++ b/crates/tansylead-route/src/roll_out/conclusion.rs
@@ -73,8 +73,8 @@
         self.own = Some((conclusion, reason));
     }
 
-    /// Adopts the conclusion that a reported stage implies at once, as a daemon that acts on one conclusion must not
-    /// be granted the opposite. Returns the new stage if this changed anything.
+    /// Adopts at once the conclusion that a reported stage implies, as a daemon that acts on one conclusion must not be
+    /// granted the opposite. Returns the new stage if this changed anything.
     pub(crate) fn adopt_reported(&mut self, now: Moment, stage: Option<Stage>) -> Option<Stage> {
         if !self.is_open() {
             return None;
--- a/crates/tansylead-route/src/roll_out/cumulative_sum.rs
+++ b/crates/tansylead-route/src/roll_out/cumulative_sum.rs
@@ -14,7 +14,7 @@
 /// The two hypotheses of a test: the usual share, and one that would be bad.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Shares {
-    /// Share of a sound version.
+    /// Share of a good version.
     pub(crate) usual: f64,
     /// Share that the test should detect.
     pub(crate) raised: f64,
--- a/crates/tansylead-route/src/roll_out/exposure.rs
+++ b/crates/tansylead-route/src/roll_out/exposure.rs
@@ -113,7 +113,7 @@
         GRANTED_PART * (self.bounds.share * requests + slack)
     }
 
-    /// Sends made, and those still possible under grants that are valid.
+    /// Sends made, and all that the tokens held allow: an expired token may have been used without a report yet.
     fn spent(&self, now: Moment, totals: &MergedTotals) -> f64 {
         let held: u64 = self.held.values().map(HeldTokens::unused).sum();
         self.used(now, totals) + held as f64
--- a/crates/tansylead-route/src/roll_out/leadership.rs
+++ b/crates/tansylead-route/src/roll_out/leadership.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether this judge led at the last evaluation.
-    pub(crate) fn leads(&self) -> bool {
+    pub(crate) fn is_leading(&self) -> bool {
         self.is_leading
     }
 
--- a/crates/tansylead-route/src/roll_out/order_memory.rs
+++ b/crates/tansylead-route/src/roll_out/order_memory.rs
@@ -1,6 +1,6 @@
-//! Memory of orders and outcomes that the source lost when it was restored from a backup.
+//! Memory of orders and outcomes that the source lost when it was restored from an older copy.
 //!
-//! The backup may lack an order, which the operator gives again, or the outcome of an order, which the daemons write
+//! The copy may lack an order, which the operator gives again, or the outcome of an order, which the daemons write
 //! again. Until then, a version that was rolled back must get no requests, and one that completed is not tried again.
 
 use super::order::{OrderId, RollOut, RollOutState, RollOuts};
--- a/crates/tansylead-route/src/roll_out/reference.rs
+++ b/crates/tansylead-route/src/roll_out/reference.rs
@@ -18,9 +18,9 @@
 /// Number of answers that this prior stands for in each window: few, so that real answers outweigh it.
 const PRIOR_SHORT: f64 = 4.0;
 const PRIOR_LONG: f64 = 20.0;
-/// The test should detect a share of failures of the usual share times the factor plus this. The factor is there
-/// because a higher usual share is known less precisely. In normal operation, one in a hundred is tested against one
-/// in ten.
+/// The share of failures that the test should detect is the usual share times [`RAISED_FACTOR`], plus this. The factor
+/// is there because a higher usual share is known less precisely. In normal operation, one in a hundred is tested
+/// against one in ten.
 const RAISED_FAILURES: f64 = 0.08;
 const RAISED_FACTOR: f64 = 2.0;
 /// Upper limits of the shares: near 1, a single good answer would be proof.
--- a/crates/tansylead-route/src/roll_out/trial.rs
+++ b/crates/tansylead-route/src/roll_out/trial.rs
@@ -121,7 +121,7 @@
         self.refresh(now);
         self.leadership.evaluate(now, context, &self.totals);
         let is_open = self.conclusion.is_open();
-        if is_open && self.leadership.leads() {
+        if is_open && self.leadership.is_leading() {
             self.advance(now, context);
         } else if is_open {
             self.follow_leader(now);
@@ -144,7 +144,7 @@
             };
         };
         let is_granting = matches!(self.stage, Stage::Trial | Stage::Shift);
-        if !is_granting || !self.leadership.leads() || self.was_frozen(now) {
+        if !is_granting || !self.leadership.is_leading() || self.was_frozen(now) {
             return self.exposure.grant_none(self.stage, known);
         }
         let pace = self.progress.pace(self.stage, &self.exposure);
@@ -157,8 +157,11 @@
     pub fn awaiting_stage(&self, now: Moment) -> Vec<NodeId> {
         let reporters = self.totals.recent_reporters(now, REPORT_WINDOW);
         let differ = reporters.filter(|(_, reporter)| reporter.stage != Some(self.stage));
-        let leads = self.leadership.leads();
-        differ.map(|(node, _)| node).filter(|_| leads).collect()
+        let is_leading = self.leadership.is_leading();
+        differ
+            .map(|(node, _)| node)
+            .filter(|_| is_leading)
+            .collect()
     }
 
     /// Updates totals, judgement and progress, whether this judge leads or not.
@@ -276,8 +279,8 @@
     /// Whether there are enough answers under load, or no allowance to wait for more.
     fn has_enough_under_load(&self, now: Moment) -> bool {
         let answers = self.judgement.new_answers();
-        let came = answers.saturating_sub(self.answers_before_shift);
-        let is_enough = came >= ANSWERS_UNDER_LOAD && !self.judgement.is_doubtful();
+        let under_load = answers.saturating_sub(self.answers_before_shift);
+        let is_enough = under_load >= ANSWERS_UNDER_LOAD && !self.judgement.is_doubtful();
         let used = self.exposure.used(now, &self.totals);
         is_enough || !self.progress.can_extend_shift(&self.exposure, used)
     }
@@ -289,16 +292,16 @@
         }
         let committed = *self.committed.get_or_insert(now);
         now.since(committed) >= MAXIMUM_COMPLETION_DELAY
-            || self.have_left_old(Stage::Commit, now, committed, context)
+            || self.are_old_leafs_idle(Stage::Commit, now, committed, context)
     }
 
     fn has_shifted(&self, now: Moment, began: Moment, context: TrialContext<'_>) -> bool {
-        self.have_left_old(Stage::Shift, now, began, context)
+        self.are_old_leafs_idle(Stage::Shift, now, began, context)
     }
 
     /// Whether all members that are not silent have reported this stage since it began, without attempts in progress on
     /// old leafs.
-    fn have_left_old(
+    fn are_old_leafs_idle(
         &self,
         stage: Stage,
         now: Moment,
@@ -309,16 +312,16 @@
         let mut known = members.filter_map(|member| self.totals.reporter(*member));
         known.all(|reporter| {
             let is_silent = !reporter.has_reported_within(now, SILENCE_LIMIT);
-            let says_so = reporter.reported_at >= began && reporter.stage == Some(stage);
-            is_silent || (says_so && reporter.evidence.running_on_old == 0)
+            let has_reported_stage = reporter.reported_at >= began && reporter.stage == Some(stage);
+            is_silent || (has_reported_stage && reporter.evidence.running_on_old == 0)
         })
     }
 
     /// Rolls back when it is time to conclude, unless the shift is in progress or an unavailable source has delayed it.
     fn conclude_if_due(&mut self, now: Moment) {
-        let waited = self.delayed_by_source;
-        let is_excused = waited.is_some_and(|at| now.since(at) < SHIFT_OVERTIME);
-        let is_waiting = is_excused && self.stage == Stage::Trial;
+        let delayed_at = self.delayed_by_source;
+        let was_delayed = delayed_at.is_some_and(|at| now.since(at) < SHIFT_OVERTIME);
+        let is_waiting = was_delayed && self.stage == Stage::Trial;
         if !self.progress.must_conclude() || is_waiting {
             return;
         }
@@ -327,7 +330,7 @@
         match self.judgement.suspicion(self.progress.rate) {
             Some(Finding::Slow) => self.roll_back(ConclusionReason::Slow),
             Some(_) => self.roll_back(ConclusionReason::Failing),
-            None if is_excused || is_shifting => {}
+            None if was_delayed || is_shifting => {}
             None => self.roll_back(ConclusionReason::NoRoom),
         }
     }
--- a/crates/tansylead-route/tests/breaker.rs
+++ b/crates/tansylead-route/tests/breaker.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn only_one_probe_is_out_at_a_time() {
+fn only_one_probe_is_in_flight_at_a_time() {
     let mut breaker = Breaker::default();
     breaker.on_overdue(at(50), at(0), DELAY);
     assert_eq!(breaker.verdict(at(150)), BreakerVerdict::Probe);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_abandoned_probe_makes_room_for_another() {
+fn an_abandoned_probe_allows_another() {
     let mut breaker = Breaker::default();
     breaker.on_overdue(at(50), at(0), DELAY);
     breaker.on_sent(at(150));
--- a/crates/tansylead-route/tests/directory.rs
+++ b/crates/tansylead-route/tests/directory.rs
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_earlier_revision_from_a_peer_is_taken_without_a_change() {
+fn an_earlier_revision_from_a_peer_is_adopted_without_a_change() {
     let mut directory = LeafDirectory::default();
     directory.apply(everything(1, &[]));
     directory.apply(present(1, 8, entry(1, 1)));
--- a/crates/tansylead-route/tests/order_memory.rs
+++ b/crates/tansylead-route/tests/order_memory.rs
@@ -1,4 +1,4 @@
-//! Roll-out orders and their outcomes after the source was restored from a backup.
+//! Roll-out orders and their outcomes after the source was restored from an older copy.
 
 use std::time::Duration;
 use tansylead_route::{Era, OrderId, OrderMemory, Revision, RollOut, RollOutState, RollOuts};
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_order_that_the_source_lost_stands_until_it_is_given_again() {
+fn an_order_that_the_source_lost_is_followed_until_it_is_given_again() {
     let mut memory = OrderMemory::default();
     let running = orders(1, 500, Some(("v2", "7", RollOutState::Running)));
     let current = memory.reconcile(at(0), &running, &orders(2, 400, None), true);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_order_that_is_not_given_again_is_taken_back() {
+fn an_order_that_is_not_given_again_is_dropped() {
     let mut memory = OrderMemory::default();
     let running = orders(1, 500, Some(("v2", "7", RollOutState::Running)));
     let none = orders(2, 400, None);
--- a/crates/tansylead-route/tests/quarantine.rs
+++ b/crates/tansylead-route/tests/quarantine.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn three_leafs_one_after_the_other_convict_a_request() {
+fn three_successive_strikes_quarantine_a_request() {
     let mut table = Quarantine::default();
     let mut changes = Vec::new();
     for run in 0..3 {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_answer_clears_a_request_and_strikes_on_their_way_count_no_more() {
+fn an_answer_clears_a_request_and_strikes_in_transit_no_longer_count() {
     let mut here = Quarantine::default();
     let mut there = Quarantine::default();
     here.on_strike(at(RUN), INNOCENT, strike(0, 0));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn daemons_come_to_hold_the_same_of_one_event() {
+fn records_of_one_event_converge_on_all_daemons() {
     let mut here = Quarantine::default();
     let mut there = Quarantine::default();
     for leaf in 0..8 {
@@ -146,7 +146,7 @@
 
 #[test]
 fn victims_of_a_request_do_not_crowd_it_out_of_what_is_told() {
-    const TOLD: usize = 32;
+    const SENT_RECORDS: usize = 32;
     let mut table = Quarantine::default();
     for run in 0..2 {
         let sent = run as u64 * 100;
@@ -159,7 +159,7 @@
             table.on_strike(at(200 + RUN), request, strike(100 + leaf, 200));
         }
     }
-    let sent_records = table.most_important(at(300), TOLD);
+    let sent_records = table.most_important(at(300), SENT_RECORDS);
     assert!(
         sent_records
             .iter()
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn after_its_time_a_request_may_be_tried_with_care_and_is_refused_for_longer_if_a_leaf_ends() {
+fn after_its_quarantine_a_request_is_suspect_and_is_quarantined_for_longer_if_a_leaf_ends() {
     let mut table = Quarantine::default();
     for run in 0..3 {
         let sent = run as u64 * STEP;
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn what_the_source_kept_is_refused_until_it_is_known_to_be_cleared() {
+fn a_quarantine_restored_from_the_source_holds_until_the_request_is_cleared() {
     let mut table = Quarantine::default();
     let change = table.restore(at(0), FATAL);
     assert_eq!(change, Some(QuarantineChange::Quarantined));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn the_table_is_bounded_and_forgets_what_matters_least() {
+fn the_table_is_bounded_and_evicts_the_least_important_records() {
     let mut table = Quarantine::default();
     for run in 0..3 {
         let sent = run as u64 * STEP;
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_request_is_the_same_only_with_caller_path_and_body() {
+fn a_request_is_recognized_only_with_the_same_caller_path_and_body() {
     let caller: IpAddr = [10, 0, 0, 1].into();
     let base = RequestIdentity {
         caller,
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn what_ends_leafs_under_several_callers_is_refused_to_all() {
+fn content_that_ends_leafs_under_several_callers_is_refused_from_all() {
     let mut table = Quarantine::default();
     let callers = [1, 2, 1, 2];
     let requests: Vec<_> = callers.map(|caller| with_query(caller, 1)).to_vec();
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn one_request_that_was_answered_may_come_to_end_leafs() {
+fn a_request_that_becomes_fatal_after_it_was_answered_is_quarantined() {
     let mut table = Quarantine::default();
     let request = with_query(1, 1);
     table.note_answered(at(0), &request);
--- a/crates/tansylead-route/tests/records.rs
+++ b/crates/tansylead-route/tests/records.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn equal_records_of_several_parts_all_count() {
+fn duplicates_in_several_parts_are_all_kept() {
     let part = vec![7_u8; RECORD_BYTES];
     let mut top = TopRecords::new(5);
     top.add(&part);
--- a/crates/tansylead-route/tests/roll_out_ends.rs
+++ b/crates/tansylead-route/tests/roll_out_ends.rs
@@ -3,7 +3,7 @@
 mod roll_out_world;
 
 use proptest::prelude::*;
-use roll_out_world::{BOUNDS, Defect, Outcome, Scenario, Service, SharedFault, simulate};
+use roll_out_world::{BOUNDS, Defect, Outcome, Scenario, Service, UnrelatedFault, simulate};
 use std::time::Duration;
 use tansylead_route::{Conclusion, ConclusionReason};
 
@@ -29,7 +29,7 @@
             usual_failures: 0.01,
             starts_after: 1_000,
             defect: Defect::default(),
-            shared_fault: None,
+            unrelated_fault: None,
         },
         loss: 0.01,
         are_stages_pushed: true,
@@ -156,7 +156,7 @@
 #[test]
 fn trouble_that_strikes_both_versions_does_not_condemn() {
     let outcomes = simulate_all(|scenario| {
-        scenario.service.shared_fault = Some(SharedFault {
+        scenario.service.unrelated_fault = Some(UnrelatedFault {
             from: 5_000,
             to: 8_000,
             old_failing: 0.3,
--- a/crates/tansylead-route/tests/roll_out_orders.rs
+++ b/crates/tansylead-route/tests/roll_out_orders.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_change_is_news_for_a_replica_that_is_not_as_far() {
+fn a_change_is_an_update_for_a_replica_at_an_earlier_revision() {
     let running = orders(5, Some(RollOutState::Running));
     let back = orders(9, Some(RollOutState::RolledBack));
     assert!(back.is_update_for(Some(running.mark())));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_replica_that_holds_the_same_is_known_as_far_as_the_other() {
+fn a_replica_with_the_same_orders_advances_to_the_revision_of_the_other() {
     let mut held = orders(5, Some(RollOutState::Running));
     assert!(!held.advance(orders(9, None).mark()), "other orders");
     assert!(!held.advance(orders(9, Some(RollOutState::RolledBack)).mark()));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn no_orders_are_told_in_few_bytes() {
+fn the_digest_of_no_orders_is_zero() {
     assert_eq!(
         orders(9, None).mark(),
         RollOutsMark {
--- a/crates/tansylead-route/tests/roll_out_state_write.rs
+++ b/crates/tansylead-route/tests/roll_out_state_write.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_write_that_is_done_ends_it() {
+fn a_write_that_is_applied_ends_the_task() {
     let mut write = completion();
     let step = write.next(now());
     assert_eq!(
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn nothing_is_written_if_the_state_stands_or_the_roll_out_has_ended() {
+fn nothing_is_written_if_the_source_has_the_state_or_the_roll_out_has_ended() {
     for (state, end) in [
         (
             RollOutState::Completed,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_lost_write_that_was_not_done_is_written_again_after_a_wait() {
+fn a_lost_write_that_was_not_applied_is_retried_after_a_backoff() {
     let mut write = completion();
     write.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
     write.on_read(now(), Ok(Some(&running())), NO_JITTER);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_write_that_is_done_seconds_later_ends_in_a_conflict_that_shows_it() {
+fn a_write_that_is_applied_seconds_later_is_confirmed_by_a_conflict() {
     let mut write = completion();
     write.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
     write.on_read(now(), Ok(Some(&running())), NO_JITTER);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_conflict_with_an_open_state_is_written_at_once_under_the_new_revision() {
+fn after_a_conflict_with_an_open_state_the_write_is_retried_at_once_with_the_new_revision() {
     let ordered = order("first", RollOutState::Ordered, 5);
     let mut write = StateWrite::new(ordered, RollOutState::RolledBack);
     let conflict = WriteEnd::Conflict(Some(Box::new(running())));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_order_that_ended_otherwise_was_replaced_or_is_gone_is_left_alone() {
+fn nothing_is_written_if_the_order_ended_otherwise_was_replaced_or_is_gone() {
     let otherwise = order("first", RollOutState::RolledBack, 8);
     let other = order("second", RollOutState::Ordered, 8);
     for (found, end) in [
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn refusals_are_tried_again_with_growing_bounded_jittered_waits() {
+fn refused_writes_are_retried_with_growing_bounded_jittered_backoff() {
     let mut write = completion();
     let mut backoffs = Vec::new();
     for _ in 0..8 {
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn news_ends_it_but_old_news_does_not() {
+fn a_newer_state_from_a_watch_ends_the_write_but_an_older_one_does_not() {
     let mut write = completion();
     write.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
     write.on_news(&order("first", RollOutState::Completed, 6));
--- a/crates/tansylead-route/tests/roll_out_trial.rs
+++ b/crates/tansylead-route/tests/roll_out_trial.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn without_evidence_it_goes_back_in_time_to_stand_by_the_deadline_and_not_before() {
+fn without_evidence_the_judge_rolls_back_just_early_enough_to_write_by_the_deadline() {
     let mut fleet = Fleet::new(3);
     fleet.answers_new = false;
     fleet.run_until(DEADLINE - 1_250);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn back_is_final() {
+fn a_roll_back_is_final() {
     let mut fleet = Fleet::new(3);
     fleet.fails_new = true;
     fleet.run_until(8_000);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_shift_waits_for_attempts_on_old_leafs_but_not_for_the_silent() {
+fn a_shift_waits_for_attempts_on_old_leafs_but_not_for_silent_daemons() {
     let mut fleet = Fleet::new(4);
     fleet.runs_on_old = true;
     fleet.run_until(11_500);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn without_room_for_the_shift_it_goes_back_in_time_to_stand_by_the_deadline() {
+fn without_allowance_for_the_shift_the_judge_rolls_back_early_enough_to_write_by_the_deadline() {
     let mut fleet = Fleet::new(3);
     fleet.set_bounds(0.02, 12.0);
     fleet.run_until(DEADLINE - 1_250);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn few_answers_do_not_condemn() {
+fn bad_answers_of_a_single_moment_do_not_reject_a_version() {
     let mut fleet = Fleet::new(3);
     fleet.run_until(2_000);
     fleet.fails_new = true;
--- a/crates/tansylead-route/tests/roll_out_world/mod.rs
+++ b/crates/tansylead-route/tests/roll_out_world/mod.rs
@@ -6,7 +6,7 @@
 use daemon::Daemon;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use service::poisson;
-pub use service::{Defect, Service, SharedFault};
+pub use service::{Defect, Service, UnrelatedFault};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tansylead_route::{
--- a/crates/tansylead-route/tests/roll_out_world/service.rs
+++ b/crates/tansylead-route/tests/roll_out_world/service.rs
@@ -20,7 +20,7 @@
 
 /// A fault that is not caused by the target version.
 #[derive(Debug, Clone, Copy)]
-pub struct SharedFault {
+pub struct UnrelatedFault {
     /// Start of the fault, in milliseconds.
     pub from: u64,
     /// End of the fault, in milliseconds.
@@ -48,7 +48,7 @@
     /// When leafs of the target version begin to answer, in milliseconds.
     pub starts_after: u64,
     pub defect: Defect,
-    pub shared_fault: Option<SharedFault>,
+    pub unrelated_fault: Option<UnrelatedFault>,
 }
 
 /// Answer to one attempt.
@@ -60,16 +60,16 @@
 impl Service {
     pub fn answer(&self, now: u64, attempt: &Attempt, rng: &mut impl Rng) -> Answer {
         let (mut failing, mut slow) = (self.usual_failures, 1.0);
-        if let Some(shared_fault) = self.shared_fault
-            && (shared_fault.from..shared_fault.to).contains(&now)
+        if let Some(unrelated_fault) = self.unrelated_fault
+            && (unrelated_fault.from..unrelated_fault.to).contains(&now)
         {
             let on_new = attempt.is_new;
             failing += if on_new {
-                shared_fault.new_failing
+                unrelated_fault.new_failing
             } else {
-                shared_fault.old_failing
+                unrelated_fault.old_failing
             };
-            slow *= shared_fault.slow;
+            slow *= unrelated_fault.slow;
         }
         if attempt.is_new && self.shows_defect(now, attempt) {
             failing += self.defect.failing;
--- a/crates/tansylead-route/tests/version_gate.rs
+++ b/crates/tansylead-route/tests/version_gate.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn without_an_order_every_leaf_is_plain() {
+fn without_an_order_every_leaf_is_unrestricted() {
     let gate = gate();
     assert_eq!(use_of_old(&gate), VersionUse::Unrestricted);
     assert_eq!(use_of(&gate, "another", BEFORE), VersionUse::Unrestricted);
@@ -156,13 +156,13 @@
 }
 
 #[test]
-fn back_is_remembered_until_the_source_says_otherwise() {
+fn a_roll_back_holds_until_the_source_has_another_outcome() {
     let mut gate = gate_under_trial();
     gate.on_grant(NOW, OrderId(1), grant(Stage::RollBack, 0));
     gate.on_grant(NOW, OrderId(1), grant(Stage::Trial, 100));
     let new = version("new");
-    for is_word_old in [false, true] {
-        let target = gate.use_of(NOW, Some(&new), LATER, is_word_old);
+    for are_orders_stale in [false, true] {
+        let target = gate.use_of(NOW, Some(&new), LATER, are_orders_stale);
         assert_eq!(target, VersionUse::Excluded);
     }
     let running = order(1, "new", RollOutState::Running, Revision::first_era(25));
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_version_that_was_rolled_back_gets_nothing_for_good() {
+fn a_version_that_was_rolled_back_gets_nothing_without_a_new_order() {
     let mut gate = gate_under_trial();
     let rolled_back = order(1, "new", RollOutState::RolledBack, ENDED);
     gate.apply(Some(&rolled_back), ENDED);
@@ -252,11 +252,11 @@
     assert!(gate.apply(Some(&again), LATER));
     assert_eq!(use_of_new(&gate), VersionUse::NotGranted);
     gate.on_grant(NOW, OrderId(1), grant(Stage::Trial, 1));
-    assert_eq!(gate.sends_left(NOW), 1, "totals begin anew");
+    assert_eq!(gate.sends_left(NOW), 1, "totals start over");
 }
 
 #[test]
-fn the_version_of_an_order_that_was_taken_back_is_the_last_resort() {
+fn the_version_of_a_withdrawn_order_is_a_last_resort() {
     let mut gate = gate_under_trial();
     gate.on_grant(NOW, OrderId(1), grant(Stage::Trial, 9));
     gate.apply(None, LATER);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn another_order_takes_the_place_of_one_that_has_not_ended() {
+fn another_order_replaces_one_that_has_not_ended() {
     let mut gate = gate_under_trial();
     gate.on_grant(NOW, OrderId(1), grant(Stage::Shift, 9));
     let other = order(2, "newest", RollOutState::Ordered, LATER);
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn an_unknown_version_is_held_until_the_orders_are_known() {
+fn an_unknown_version_is_a_last_resort_until_the_orders_are_known() {
     let mut gate = gate();
     gate.on_version_entry(&version("new"), ENDED);
     assert_eq!(use_of(&gate, "new", ENDED), VersionUse::LastResort);
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn before_the_first_word_on_orders_versions_are_the_last_resort() {
+fn before_the_first_update_of_the_orders_versions_are_a_last_resort() {
     let mut gate = VersionGate::default();
     gate.on_version_entry(&version("old"), BEFORE);
     assert_eq!(use_of_old(&gate), VersionUse::LastResort);
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn if_the_word_is_old_the_target_is_the_last_resort() {
+fn if_the_orders_are_stale_the_target_is_a_last_resort() {
     let mut gate = gate_under_trial();
     let new = version("new");
     let at = |gate: &VersionGate| gate.use_of(NOW, Some(&new), LATER, true);
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn a_word_that_comes_late_changes_nothing() {
+fn an_update_of_the_orders_that_arrives_late_changes_nothing() {
     let mut gate = gate_under_trial();
     let rolled_back = order(1, "new", RollOutState::RolledBack, ENDED);
     gate.apply(Some(&rolled_back), ENDED);
@@ -331,15 +331,15 @@
 }
 
 #[test]
-fn a_stage_is_told_once() {
+fn a_stage_is_returned_only_when_it_changes() {
     let mut gate = gate_under_trial();
-    let mut tell = |stage| gate.on_grant(NOW, OrderId(1), grant(stage, 1));
-    assert_eq!(tell(Stage::Trial), Some(Stage::Trial));
-    assert_eq!(tell(Stage::Trial), None);
-    assert_eq!(tell(Stage::Shift), Some(Stage::Shift));
-    assert_eq!(tell(Stage::RollBack), Some(Stage::RollBack));
-    assert_eq!(tell(Stage::Shift), None);
-    assert_eq!(tell(Stage::Commit), None);
+    let mut apply_grant = |stage| gate.on_grant(NOW, OrderId(1), grant(stage, 1));
+    assert_eq!(apply_grant(Stage::Trial), Some(Stage::Trial));
+    assert_eq!(apply_grant(Stage::Trial), None);
+    assert_eq!(apply_grant(Stage::Shift), Some(Stage::Shift));
+    assert_eq!(apply_grant(Stage::RollBack), Some(Stage::RollBack));
+    assert_eq!(apply_grant(Stage::Shift), None);
+    assert_eq!(apply_grant(Stage::Commit), None);
 }
 
 /// Event at a gate.
@@ -348,7 +348,7 @@
     Granted(Stage, u64),
     /// A send to the target, if the gate allows one.
     Sent,
-    Passed(u64),
+    TimePassed(u64),
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
@@ -361,7 +361,7 @@
         (stages, 0..20_u64).prop_map(|(stage, limit)| Event::Granted(stage, limit)),
         Just(Event::Sent),
         Just(Event::Sent),
-        (0..1_500_u64).prop_map(Event::Passed),
+        (0..1_500_u64).prop_map(Event::TimePassed),
     ];
     proptest::collection::vec(event, 0..80)
 }
@@ -373,13 +373,13 @@
         let new = version("new");
         let (mut now, mut sends) = (NOW, 0);
         let mut held: Option<(u64, Moment)> = None;
-        let mut is_back = false;
+        let mut is_rolled_back = false;
         for event in events {
             match event {
                 Event::Granted(stage, limit) => {
                     gate.on_grant(now, OrderId(1), grant(stage, limit));
                     held = Some((limit, now + VALID));
-                    is_back |= stage == Stage::RollBack;
+                    is_rolled_back |= stage == Stage::RollBack;
                 }
                 Event::Sent => {
                     let allowed = gate.use_of(now, Some(&new), LATER, false);
@@ -387,14 +387,14 @@
                         gate.on_sent(Some(&new));
                         sends += 1;
                         let (limit, until) = held.expect("a grant");
-                        prop_assert!(sends <= limit && now < until && !is_back);
+                        prop_assert!(sends <= limit && now < until && !is_rolled_back);
                     } else {
                         let room = held.is_some_and(|(limit, until)| sends < limit && now < until);
-                        prop_assert!(is_back || !room, "a grant with room is used");
+                        prop_assert!(is_rolled_back || !room, "a grant with room is used");
                         prop_assert!(matches!(allowed, VersionUse::NotGranted | VersionUse::Excluded));
                     }
                 }
-                Event::Passed(millis) => now = now + Duration::from_millis(millis),
+                Event::TimePassed(millis) => now = now + Duration::from_millis(millis),
             }
         }
     }
@@ -418,10 +418,10 @@
         let rolled_back = order(1, "new", RollOutState::RolledBack, ENDED);
         gate.apply(Some(&rolled_back), ENDED);
         let targets = ["a", "b", "c"];
-        for (step, (target, stands)) in states.into_iter().enumerate() {
+        for (step, (target, has_order)) in states.into_iter().enumerate() {
             let at = Revision::first_era(50 + step as u64);
             let next = order(10 + step as u64, targets[target], RollOutState::Running, at);
-            gate.apply(stands.then_some(&next), at);
+            gate.apply(has_order.then_some(&next), at);
             prop_assert_eq!(use_of_new(&gate), VersionUse::Excluded);
         }
     }
--- a/crates/tansylead-route/tests/version_settled.rs
+++ b/crates/tansylead-route/tests/version_settled.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_version_that_was_completed_is_alone_until_another_one_is_shown() {
+fn a_completed_version_is_the_only_one_until_another_is_seen() {
     let mut gate = VersionGate::default();
     gate.on_version_entry(&version("old"), Revision::first_era(5));
     gate.on_version_entry(&version("good"), Revision::first_era(8));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_version_that_came_back_after_a_completion_counts_although_it_was_shown_before() {
+fn a_version_that_reappeared_after_a_completion_counts_although_it_was_seen_before() {
     // Regression: only the oldest entry of a version was considered, which the completion had stopped.
     let mut gate = VersionGate::default();
     gate.on_version_entry(&version("old"), Revision::first_era(5));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_version_beside_which_another_one_was_rolled_back_is_alone() {
+fn a_version_is_the_only_one_if_the_other_was_rolled_back() {
     let mut gate = after_an_order_for_bad(Some(RollOutState::RolledBack));
     let again = order(3, "good", RollOutState::Ordered, SECOND);
     gate.apply(Some(&again), SECOND);
