--- a/crates/tansylead-route/src/idle_policy.rs
+++ b/crates/tansylead-route/src/idle_policy.rs
@@ -19,8 +19,9 @@
 const GAP_WEIGHT: f64 = 0.2;
 /// Connections are kept for this share of the idle time after which one was reset.
 const IDLE_RESET_SHARE: f64 = 0.5;
-/// No leaf drops a connection that was idle for less. So if one is lost after less, the leaf may have run
-/// the request, and requests that are not repeatable are sent only on connections that were idle for less.
+/// No leaf drops a connection that was idle for less, so a loss after less is a lost answer and tells nothing
+/// about idle times. A request that is lost with a dropped connection may have run, so requests that are not
+/// repeatable are sent only on connections that were idle for less.
 pub const SHORTEST_IDLE_RESET: Duration = Duration::from_millis(250);
 /// How long a reset after idle time limits the time that connections are kept.
 const IDLE_RESET_MEMORY: Duration = Duration::from_secs(10);
--- a/crates/tansylead-route/src/quarantine/record.rs
+++ b/crates/tansylead-route/src/quarantine/record.rs
@@ -8,7 +8,7 @@
 
 /// Runs that leafs ended under before a request is suspect: a single leaf may end for any reason.
 const SUSPECT_RUNS: usize = 2;
-/// Successive strikes needed to quarantine a request. Even while many leafs crash, an innocent request meets a
+/// Successive strikes needed to quarantine a request. Even while many leafs crash, a harmless request meets a
 /// crashing leaf with a probability of a few in a hundred, so three in a row have one of a few in 100,000. Two may
 /// be one event that takes down all leafs.
 const QUARANTINE_RUNS: usize = 3;
@@ -112,7 +112,7 @@
     }
 
     /// Whether leafs ended under successive runs of the request. Requests that merely ran beside the cause were
-    /// struck once.
+    /// usually struck only once.
     pub(super) fn is_likely_cause(&self) -> bool {
         self.times_quarantined > 0 || self.successive_runs() > 1
     }
@@ -125,7 +125,7 @@
         is_enough && (is_one_caller || self.has_several_callers())
     }
 
-    /// Quarantines the request, for longer than the time before.
+    /// Quarantines the request, for twice as long as the time before, up to the maximum.
     pub(super) fn quarantine(&mut self, now: Moment) {
         self.times_quarantined = self.times_quarantined.saturating_add(1);
         let doublings = (self.times_quarantined - 1).min(MAXIMUM_DOUBLINGS);
--- a/crates/tansylead-route/src/query_admission.rs
+++ b/crates/tansylead-route/src/query_admission.rs
@@ -96,8 +96,8 @@
     pub fn on_overload(&mut self, now: Moment) -> Option<AdmissionChange> {
         self.recover(now);
         self.share = (self.share * DECREASE).max(MINIMUM_SHARE);
-        let is_news = !std::mem::replace(&mut self.is_lowered, true);
-        is_news.then_some(AdmissionChange::Lowered)
+        let is_newly_lowered = !std::mem::replace(&mut self.is_lowered, true);
+        is_newly_lowered.then_some(AdmissionChange::Lowered)
     }
 
     fn recover(&mut self, now: Moment) {
--- a/crates/tansylead-route/src/removed_leafs.rs
+++ b/crates/tansylead-route/src/removed_leafs.rs
@@ -1,7 +1,7 @@
 //! Runs of leafs that the source has recently removed from its list.
 //!
 //! A source that is restored from an older copy lists them again. Such an entry does not show that the leaf
-//! lives until the leaf itself has had the time to renew it, or the entry to expire.
+//! is alive until there has been time for the leaf to renew it, or for the entry to expire.
 
 use crate::leaf::LeafRun;
 use std::collections::VecDeque;
--- a/crates/tansylead-route/src/roll_out/judgement.rs
+++ b/crates/tansylead-route/src/roll_out/judgement.rs
@@ -63,7 +63,7 @@
         self.slow.has_reached(limit).then_some(Finding::Slow)
     }
 
-    fn hint(&self, limit: f64) -> Option<Finding> {
+    fn unlimited_finding(&self, limit: f64) -> Option<Finding> {
         if self.failing.has_reached_unlimited(limit) {
             return Some(Finding::Failing);
         }
@@ -178,7 +178,7 @@
         if let Some(rejected) = self.rejected {
             return rejected;
         }
-        let has_enough = self.new_answers() >= self.enough();
+        let has_enough = self.new_answers() >= self.answers_needed();
         if has_enough {
             Finding::GoodSoFar
         } else {
@@ -189,13 +189,13 @@
     /// Doubts about the target version that count at the last moment: from the answers so far, or from attempts still
     /// waiting for theirs, at `rate` attempts a second.
     pub(crate) fn suspicion(&self, rate: f64) -> Option<Finding> {
-        let tested = self.rejected.or_else(|| self.hint(SUSPECTED));
+        let tested = self.rejected.or_else(|| self.unlimited_finding(SUSPECTED));
         tested.or_else(|| self.has_backlog(rate).then_some(Finding::Slow))
     }
 
     /// Whether the answers so far are a reason to wait for more.
     pub(crate) fn is_doubtful(&self) -> bool {
-        self.hint(DOUBTFUL).is_some()
+        self.unlimited_finding(DOUBTFUL).is_some()
     }
 
     /// Number of answers of the target version.
@@ -204,7 +204,7 @@
         routes.map(|route| route.seen.new.answers()).sum()
     }
 
-    fn enough(&self) -> u64 {
+    fn answers_needed(&self) -> u64 {
         (self.requests / REQUESTS_PER_ANSWER).clamp(MINIMUM_ANSWERS, ENOUGH_ANSWERS)
     }
 
@@ -217,13 +217,13 @@
         self.all.finding(limit).or(worst)
     }
 
-    fn hint(&self, limit: f64) -> Option<Finding> {
+    fn unlimited_finding(&self, limit: f64) -> Option<Finding> {
         let route_limit = self.limit_for_route(limit);
         let routes = self.routes.values();
         let worst = routes
-            .filter_map(|route| route.tests.hint(route_limit))
+            .filter_map(|route| route.tests.unlimited_finding(route_limit))
             .next();
-        self.all.hint(limit).or(worst)
+        self.all.unlimited_finding(limit).or(worst)
     }
 
     /// Limit for a single route: higher with more routes, as one of many is more likely to look bad by chance.
--- a/crates/tansylead-route/src/roll_out/leadership.rs
+++ b/crates/tansylead-route/src/roll_out/leadership.rs
@@ -1,4 +1,4 @@
-//! Election of the leading judge: the one that most reports name as followed, if it hears most members.
+//! Election of the leading judge: the one that most reports name as followed, if most members report to it.
 
 use super::totals::MergedTotals;
 use super::verdict::TrialContext;
--- a/crates/tansylead-route/src/roll_out/order_memory.rs
+++ b/crates/tansylead-route/src/roll_out/order_memory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tansylead_types::{Moment, ServiceName};
 
-/// How long a lost order is kept if the operator does not give it again.
+/// How long a lost order is kept. The operator gives it again within this time.
 const LOST_ORDER_RETENTION: Duration = Duration::from_secs(10);
 
 /// An order that the source has lost.
--- a/crates/tansylead-route/src/roll_out/state_write.rs
+++ b/crates/tansylead-route/src/roll_out/state_write.rs
@@ -159,7 +159,7 @@
 
     /// Handles a version of the order that was received in another way, such as a watch. One older than the last read
     /// is ignored.
-    pub fn on_news(&mut self, received: &RollOut) {
+    pub fn on_update(&mut self, received: &RollOut) {
         if received.changed_at > self.roll_out.changed_at && !matches!(self.task, Task::Done(_)) {
             self.update_task(Some(received));
         }
--- a/crates/tansylead-route/tests/quarantine.rs
+++ b/crates/tansylead-route/tests/quarantine.rs
@@ -10,7 +10,7 @@
 
 /// A fingerprint of exact scope: its two lowest bits are 0.
 const FATAL: RequestFingerprint = RequestFingerprint(4);
-const INNOCENT: RequestFingerprint = RequestFingerprint(8);
+const HARMLESS: RequestFingerprint = RequestFingerprint(8);
 const CALLER: u32 = 1;
 /// Duration of each run, in milliseconds.
 const RUN: u64 = 30;
@@ -74,19 +74,19 @@
 fn an_answer_clears_a_request_and_strikes_in_transit_no_longer_count() {
     let mut here = Quarantine::default();
     let mut there = Quarantine::default();
-    here.on_strike(at(RUN), INNOCENT, strike(0, 0));
-    here.on_strike(at(100 + RUN), INNOCENT, strike(1, 100));
-    let struck_record = here.record(at(200), INNOCENT).expect("held");
+    here.on_strike(at(RUN), HARMLESS, strike(0, 0));
+    here.on_strike(at(100 + RUN), HARMLESS, strike(1, 100));
+    let struck_record = here.record(at(200), HARMLESS).expect("held");
     there.merge(at(210), struck_record.clone());
-    assert_eq!(there.verdict(at(210), INNOCENT), Verdict::Suspect);
-    let cleared = here.on_answer(at(300), INNOCENT);
+    assert_eq!(there.verdict(at(210), HARMLESS), Verdict::Suspect);
+    let cleared = here.on_answer(at(300), HARMLESS);
     assert_eq!(cleared, Some(QuarantineChange::Cleared));
-    let cleared_record = here.record(at(300), INNOCENT).expect("remembered");
+    let cleared_record = here.record(at(300), HARMLESS).expect("remembered");
     let change = there.merge(at(310), cleared_record);
     assert_eq!(change, Some(QuarantineChange::Cleared));
     assert_eq!(there.merge(at(320), struck_record), None);
-    assert_eq!(there.verdict(at(320), INNOCENT), Verdict::Clear);
-    assert_eq!(here.on_answer(at(330), INNOCENT), None);
+    assert_eq!(there.verdict(at(320), HARMLESS), Verdict::Clear);
+    assert_eq!(here.on_answer(at(330), HARMLESS), None);
 }
 
 #[test]
@@ -95,16 +95,16 @@
     // Another request ends one leaf after the other for most of a second, and this one runs on each of them.
     for run in 0..9 {
         let sent = run as u64 * 100;
-        table.on_strike(at(sent + RUN), INNOCENT, strike(run, sent));
+        table.on_strike(at(sent + RUN), HARMLESS, strike(run, sent));
     }
-    assert_eq!(table.verdict(at(1_000), INNOCENT), Verdict::Suspect);
+    assert_eq!(table.verdict(at(1_000), HARMLESS), Verdict::Suspect);
     // The leafs restart and answer it; when the other request is repeated, it is struck again.
-    table.on_answer(at(2_000), INNOCENT);
+    table.on_answer(at(2_000), HARMLESS);
     for run in 0..9 {
         let sent = 4_000 + run as u64 * 100;
-        table.on_strike(at(sent + RUN), INNOCENT, strike(20 + run, sent));
+        table.on_strike(at(sent + RUN), HARMLESS, strike(20 + run, sent));
     }
-    assert_eq!(table.verdict(at(5_000), INNOCENT), Verdict::Suspect);
+    assert_eq!(table.verdict(at(5_000), HARMLESS), Verdict::Suspect);
 }
 
 #[test]
--- a/crates/tansylead-route/tests/roll_out_state_write.rs
+++ b/crates/tansylead-route/tests/roll_out_state_write.rs
@@ -186,9 +186,9 @@
 fn a_newer_state_from_a_watch_ends_the_write_but_an_older_one_does_not() {
     let mut write = completion();
     write.on_write(now(), Err(WriteFailure::Unknown), NO_JITTER);
-    write.on_news(&order("first", RollOutState::Completed, 6));
+    write.on_update(&order("first", RollOutState::Completed, 6));
     assert_eq!(write.next(now()), WriteStep::Read);
-    write.on_news(&order("first", RollOutState::Completed, 8));
+    write.on_update(&order("first", RollOutState::Completed, 8));
     let end = StateWriteEnd::Confirmed(Revision::first_era(8));
     assert_eq!(write.next(now()), WriteStep::Ended(end));
 }
