--- a/crates/tansylead-route/tests/quarantine.rs
+++ b/crates/tansylead-route/tests/quarantine.rs
@@ -10,7 +10,7 @@
 
 /// A fingerprint of exact scope: its two lowest bits are 0.
 const FATAL: RequestFingerprint = RequestFingerprint(4);
-const INNOCENT: RequestFingerprint = RequestFingerprint(8);
+const HARMLESS: RequestFingerprint = RequestFingerprint(8);
 const CALLER: u32 = 1;
 /// Duration of each run, in milliseconds.
 const RUN: u64 = 30;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn three_leafs_one_after_the_other_convict_a_request() {
+fn three_successive_strikes_quarantine_a_request() {
     let mut table = Quarantine::default();
     let mut changes = Vec::new();
     for run in 0..3 {
@@ -71,22 +71,22 @@
 }
 
 #[test]
-fn an_answer_clears_a_request_and_strikes_on_their_way_count_no_more() {
+fn an_answer_clears_a_request_and_strikes_in_transit_no_longer_count() {
     let mut here = Quarantine::default();
     let mut there = Quarantine::default();
-    here.on_strike(at(RUN), INNOCENT, strike(0, 0));
-    here.on_strike(at(100 + RUN), INNOCENT, strike(1, 100));
-    let struck_record = here.record(at(200), INNOCENT).expect("held");
+    here.on_strike(at(RUN), HARMLESS, strike(0, 0));
+    here.on_strike(at(100 + RUN), HARMLESS, strike(1, 100));
+    let struck_record = here.record(at(200), HARMLESS).expect("held");
     there.merge(at(210), struck_record.clone());
-    assert_eq!(there.verdict(at(210), INNOCENT), Verdict::Suspect);
-    let cleared = here.on_answer(at(300), INNOCENT);
+    assert_eq!(there.verdict(at(210), HARMLESS), Verdict::Suspect);
+    let cleared = here.on_answer(at(300), HARMLESS);
     assert_eq!(cleared, Some(QuarantineChange::Cleared));
-    let cleared_record = here.record(at(300), INNOCENT).expect("remembered");
+    let cleared_record = here.record(at(300), HARMLESS).expect("remembered");
     let change = there.merge(at(310), cleared_record);
     assert_eq!(change, Some(QuarantineChange::Cleared));
     assert_eq!(there.merge(at(320), struck_record), None);
-    assert_eq!(there.verdict(at(320), INNOCENT), Verdict::Clear);
-    assert_eq!(here.on_answer(at(330), INNOCENT), None);
+    assert_eq!(there.verdict(at(320), HARMLESS), Verdict::Clear);
+    assert_eq!(here.on_answer(at(330), HARMLESS), None);
 }
 
 #[test]
@@ -95,16 +95,16 @@
     // Another request ends one leaf after the other for most of a second, and this one runs on each of them.
     for run in 0..9 {
         let sent = run as u64 * 100;
-        table.on_strike(at(sent + RUN), INNOCENT, strike(run, sent));
+        table.on_strike(at(sent + RUN), HARMLESS, strike(run, sent));
     }
-    assert_eq!(table.verdict(at(1_000), INNOCENT), Verdict::Suspect);
+    assert_eq!(table.verdict(at(1_000), HARMLESS), Verdict::Suspect);
     // The leafs restart and answer it; when the other request is repeated, it is struck again.
-    table.on_answer(at(2_000), INNOCENT);
+    table.on_answer(at(2_000), HARMLESS);
     for run in 0..9 {
         let sent = 4_000 + run as u64 * 100;
-        table.on_strike(at(sent + RUN), INNOCENT, strike(20 + run, sent));
+        table.on_strike(at(sent + RUN), HARMLESS, strike(20 + run, sent));
     }
-    assert_eq!(table.verdict(at(5_000), INNOCENT), Verdict::Suspect);
+    assert_eq!(table.verdict(at(5_000), HARMLESS), Verdict::Suspect);
 }
 
 #[test]
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn daemons_come_to_hold_the_same_of_one_event() {
+fn records_of_one_event_converge_on_all_daemons() {
     let mut here = Quarantine::default();
     let mut there = Quarantine::default();
     for leaf in 0..8 {
@@ -146,7 +146,7 @@
 
 #[test]
 fn victims_of_a_request_do_not_crowd_it_out_of_what_is_told() {
-    const TOLD: usize = 32;
+    const SENT_RECORDS: usize = 32;
     let mut table = Quarantine::default();
     for run in 0..2 {
         let sent = run as u64 * 100;
@@ -159,7 +159,7 @@
             table.on_strike(at(200 + RUN), request, strike(100 + leaf, 200));
         }
     }
-    let sent_records = table.most_important(at(300), TOLD);
+    let sent_records = table.most_important(at(300), SENT_RECORDS);
     assert!(
         sent_records
             .iter()
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn after_its_time_a_request_may_be_tried_with_care_and_is_refused_for_longer_if_a_leaf_ends() {
+fn after_its_quarantine_a_request_is_suspect_and_is_quarantined_for_longer_if_a_leaf_ends() {
     let mut table = Quarantine::default();
     for run in 0..3 {
         let sent = run as u64 * STEP;
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn what_the_source_kept_is_refused_until_it_is_known_to_be_cleared() {
+fn a_quarantine_restored_from_the_source_holds_until_the_request_is_cleared() {
     let mut table = Quarantine::default();
     let change = table.restore(at(0), FATAL);
     assert_eq!(change, Some(QuarantineChange::Quarantined));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn the_table_is_bounded_and_forgets_what_matters_least() {
+fn the_table_is_bounded_and_evicts_the_least_important_records() {
     let mut table = Quarantine::default();
     for run in 0..3 {
         let sent = run as u64 * STEP;
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_request_is_the_same_only_with_caller_path_and_body() {
+fn a_request_is_recognized_only_with_the_same_caller_path_and_body() {
     let caller: IpAddr = [10, 0, 0, 1].into();
     let base = RequestIdentity {
         caller,
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn what_ends_leafs_under_several_callers_is_refused_to_all() {
+fn content_that_ends_leafs_under_several_callers_is_refused_from_all() {
     let mut table = Quarantine::default();
     let callers = [1, 2, 1, 2];
     let requests: Vec<_> = callers.map(|caller| with_query(caller, 1)).to_vec();
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn one_request_that_was_answered_may_come_to_end_leafs() {
+fn a_request_that_becomes_fatal_after_it_was_answered_is_quarantined() {
     let mut table = Quarantine::default();
     let request = with_query(1, 1);
     table.note_answered(at(0), &request);
