--- a/crates/tansylead-cli/src/check_command.rs
+++ b/crates/tansylead-cli/src/check_command.rs
@@ -1,4 +1,4 @@
-//! `tansylead check`: checks a settings file.
+//! `tansylead check`: checks a settings file and prints the resulting settings.
 
 use crate::commands::Subcommand;
 use crate::exit_code::ExitStatus;
--- a/crates/tansylead-cli/src/commands.rs
+++ b/crates/tansylead-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! Registry of the subcommands. A new one is a module and one entry in [`SUBCOMMANDS`].
+//! Registry of the subcommands. To add one, write a module and add an entry to [`SUBCOMMANDS`].
 
 use crate::exit_code::ExitStatus;
 use crate::{
@@ -11,7 +11,7 @@
 pub struct Subcommand {
     /// Its arguments and help.
     pub command: fn() -> Command,
-    /// What it does.
+    /// Runs it.
     pub run: fn(&ArgMatches) -> eyre::Result<ExitStatus>,
 }
 
@@ -43,7 +43,7 @@
   4 query: partial answer       9 status: the daemon is not ready
   10 to 14: see `tansylead table --help`";
 
-/// The whole command line.
+/// The definition of the whole command line.
 pub fn program() -> Command {
     let subcommands = SUBCOMMANDS.iter().map(|subcommand| (subcommand.command)());
     Command::new("tansylead")
--- a/crates/tansylead-cli/src/daemon_flag.rs
+++ b/crates/tansylead-cli/src/daemon_flag.rs
@@ -1,11 +1,11 @@
-//! The `--daemon` flag of the subcommands that speak to one daemon.
+//! The `--daemon` flag of the subcommands that connect to one daemon.
 
 use clap::{Arg, ArgMatches, value_parser};
 use std::net::SocketAddr;
 
 const NAME: &str = "daemon";
 
-/// Describes the flag.
+/// Definition of the flag.
 pub fn argument() -> Arg {
     Arg::new(NAME)
         .long(NAME)
@@ -15,7 +15,7 @@
         .help("Caller address of a daemon")
 }
 
-/// The address given.
+/// The address that was given, or the default.
 pub fn address(matches: &ArgMatches) -> eyre::Result<SocketAddr> {
     matches
         .get_one::<SocketAddr>(NAME)
--- a/crates/tansylead-cli/src/exit_code.rs
+++ b/crates/tansylead-cli/src/exit_code.rs
@@ -1,4 +1,4 @@
-//! Exit codes of the program. Scripts rely on them: never renumber.
+//! Exit codes of the program. Scripts rely on the numbers, so they must not change.
 
 use crate::http_client::Unreachable;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
     Success = 0,
     /// Something failed that has no code of its own.
     Failure = 1,
-    /// Settings cannot be used. (2 is wrong usage, as the command-line library has it.)
+    /// The settings are invalid. (2 is missing here because clap exits with it on wrong usage.)
     InvalidSettings = 3,
     /// `query`: the answer is partial.
     Partial = 4,
@@ -20,7 +20,7 @@
     /// `query`: the request may have run.
     Unknown = 6,
     /// `serve`: stopped with requests still open.
-    DrainCut = 7,
+    DrainIncomplete = 7,
     /// No answer from the daemon or the store.
     Unreachable = 8,
     /// `status`: the daemon is not ready.
@@ -29,11 +29,11 @@
     TableErrors = 10,
     /// `table`: the table in the store has changed since the proposal's base.
     TableConflict = 11,
-    /// `table accept`: not known whether the change was accepted.
+    /// `table accept`: it is unknown whether the change was accepted.
     AcceptUnknown = 12,
     /// `table accept --wait`: accepted, but not in force on all live daemons in time.
     NotInForce = 13,
-    /// `table accept`: the store was put back to an older state.
+    /// `table accept`: the store was restored to an older state.
     StoreBehind = 14,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The code for an error that ended the program.
+/// The exit status for an error that ended the program.
 pub fn status_of(error: &eyre::Report) -> ExitStatus {
     if error.downcast_ref::<SettingsError>().is_some() {
         return ExitStatus::InvalidSettings;
--- a/crates/tansylead-cli/src/explain_command.rs
+++ b/crates/tansylead-cli/src/explain_command.rs
@@ -1,5 +1,5 @@
-//! `tansylead explain`: from a request's id to its cause, or a summary of all requests that ended
-//! badly, by the logs alone.
+//! `tansylead explain`: the likely cause of one request's outcome, or a summary of all requests that
+//! ended badly, from the logs alone.
 
 use crate::commands::Subcommand;
 use crate::exit_code::ExitStatus;
@@ -41,7 +41,7 @@
     let first = matches.get_one::<String>("request");
     let paths = matches.get_many::<PathBuf>("logs").unwrap_or_default();
     if matches.get_flag("summary") {
-        // Every positional argument is a log here.
+        // With `--summary`, the first positional argument is a log too.
         let first = first.map(PathBuf::from);
         let logs = read_all(first.iter().chain(paths))?;
         if logs.is_empty() {
--- a/crates/tansylead-cli/src/gateway_command.rs
+++ b/crates/tansylead-cli/src/gateway_command.rs
@@ -1,4 +1,4 @@
-//! `tansylead gateway`: forwards routed requests by a routes file.
+//! `tansylead gateway`: runs a daemon that forwards requests as a routes file states.
 
 use crate::commands::Subcommand;
 use crate::exit_code::ExitStatus;
@@ -53,7 +53,7 @@
         output_line!("both files can be used");
         return Ok(ExitStatus::Success);
     }
-    let _last_lines = tansylead_gateway::logging::initialize(log::LevelFilter::Info)?;
+    let _log_flush = tansylead_gateway::logging::initialize(log::LevelFilter::Info)?;
     let source = RoutesFileSource::new(routes_path);
     let reload = move || GatewaySettings::load(&settings_path).wrap_err("load settings");
     tansylead_gateway::run(settings, HeaderNames::default(), source, reload)?;
--- a/crates/tansylead-cli/src/http_client.rs
+++ b/crates/tansylead-cli/src/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with a daemon. Nothing is ever sent twice.
+//! A single HTTP exchange with a daemon, without retries.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -10,20 +10,20 @@
 use tansylead_types::StepError;
 use tokio::net::TcpStream;
 
-/// Time allowed for connecting.
+/// Time limit for connecting.
 const CONNECT_LIMIT: Duration = Duration::from_secs(3);
 
-/// Nothing was sent: the daemon could not be reached.
+/// The daemon or the store could not be reached, so nothing was sent.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Unreachable(pub StepError);
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Debug)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Body.
+    /// The whole body.
     pub body: Bytes,
 }
 
@@ -36,7 +36,7 @@
     pub value: String,
 }
 
-/// Sends one request and reads the whole reply.
+/// Sends one request and reads the complete reply.
 pub async fn exchange(
     address: SocketAddr,
     method: Method,
--- a/crates/tansylead-cli/src/main.rs
+++ b/crates/tansylead-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `tansylead` program: daemon and operators' tool in one.
+//! The `tansylead` program: the daemon and the operators' command-line tool in one binary.
 
 #[macro_use]
 mod output;
--- a/crates/tansylead-cli/src/output.rs
+++ b/crates/tansylead-cli/src/output.rs
@@ -1,24 +1,24 @@
-//! Writes to standard output. A reader that has seen enough, such as `head`, ends the output but
-//! not the command: its exit status still says what happened.
+//! Writes to standard output. If the reader closes the pipe early, as `head` does, the output is
+//! dropped but the command goes on, and its exit status still reports the result.
 
 use std::fmt::Arguments;
 use std::io::Write;
 
-/// Writes a text as it is.
+/// Writes formatted text without a line break.
 macro_rules! output {
     ($($argument:tt)*) => {
         $crate::output::write(format_args!($($argument)*))
     };
 }
 
-/// Writes a text and ends the line.
+/// Writes formatted text and a line break.
 macro_rules! output_line {
     ($($argument:tt)*) => {
         $crate::output::write(format_args!("{}\n", format_args!($($argument)*)))
     };
 }
 
-/// Writes to standard output; errors are left alone, as there is nowhere else to put the text.
+/// Writes to standard output. Errors are ignored, as there is nowhere else to write the text.
 pub(crate) fn write(text: Arguments<'_>) {
     let mut standard_output = std::io::stdout().lock();
     let _ = standard_output
--- a/crates/tansylead-cli/src/query_command.rs
+++ b/crates/tansylead-cli/src/query_command.rs
@@ -18,10 +18,10 @@
 /// The subcommand.
 pub const SUBCOMMAND: Subcommand = Subcommand { command, run };
 
-/// Waiting beyond the deadline, so that the daemon's own answer arrives.
+/// Wait beyond the deadline, so that the daemon's own answer can arrive.
 const ANSWER_MARGIN: Duration = Duration::from_secs(5);
-/// Longest wait when no deadline is given.
-const LONGEST_WAIT: Duration = Duration::from_secs(120);
+/// Longest wait if no deadline is given.
+const MAX_WAIT: Duration = Duration::from_secs(120);
 
 const EXAMPLES: &str = "\
 Examples:
@@ -76,7 +76,7 @@
     runtime.block_on(query(matches))
 }
 
-/// The part of any reply that decides the exit code.
+/// The field of every reply that determines the exit code.
 #[derive(Debug, Deserialize)]
 struct ReplyOutcome {
     outcome: Outcome,
@@ -98,7 +98,7 @@
     let body = serde_json::to_vec(&body)?.into();
     let path = format!("/v1/services/{service}/query");
     let deadline = matches.get_one::<u64>("deadline-ms");
-    let limit = deadline.map_or(LONGEST_WAIT, |&millis| {
+    let limit = deadline.map_or(MAX_WAIT, |&millis| {
         Duration::from_millis(millis) + ANSWER_MARGIN
     });
     let reply = exchange(daemon, Method::POST, &path, &headers(matches), body, limit).await?;
--- a/crates/tansylead-cli/src/serve_command.rs
+++ b/crates/tansylead-cli/src/serve_command.rs
@@ -53,6 +53,6 @@
     let stop = StopRequests::from_signals()?;
     match tansylead_daemon::run(settings, Tuning::default(), stop).await? {
         DrainResult::Clean => Ok(ExitStatus::Success),
-        DrainResult::Cut { .. } => Ok(ExitStatus::DrainCut),
+        DrainResult::Cut { .. } => Ok(ExitStatus::DrainIncomplete),
     }
 }
--- a/crates/tansylead-cli/src/settings_flags.rs
+++ b/crates/tansylead-cli/src/settings_flags.rs
@@ -1,9 +1,9 @@
-//! Flags that override the settings file: one for each key.
+//! Flags that override keys of the settings file, one flag per key.
 
 use clap::{Arg, ArgMatches, value_parser};
 use tansylead_daemon::SettingsOverrides;
 
-/// How the value of a flag is written.
+/// Type of a flag's value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FlagKind {
     Text,
@@ -134,7 +134,7 @@
     ),
 ];
 
-/// The flags, for the command line.
+/// Definitions of the flags.
 pub fn arguments() -> Vec<Arg> {
     FLAGS.iter().map(argument).collect()
 }
@@ -155,7 +155,7 @@
     }
 }
 
-/// The overrides that were given.
+/// The overrides that were given on the command line.
 pub fn overrides(matches: &ArgMatches) -> SettingsOverrides {
     let mut overrides = SettingsOverrides::default();
     for flag in FLAGS {
--- a/crates/tansylead-cli/src/status_command.rs
+++ b/crates/tansylead-cli/src/status_command.rs
@@ -1,4 +1,4 @@
-//! `tansylead status`: prints the state of a daemon and of the cluster as it sees it.
+//! `tansylead status`: prints the state of a daemon and its view of the cluster.
 
 use crate::commands::Subcommand;
 use crate::daemon_flag;
@@ -18,8 +18,10 @@
 /// The subcommand.
 pub const SUBCOMMAND: Subcommand = Subcommand { command, run };
 
-const LIMIT: Duration = Duration::from_secs(10);
-const NONE: &str = "-";
+/// Time limit for the daemon's reply.
+const REPLY_LIMIT: Duration = Duration::from_secs(10);
+/// Printed for a value that is absent.
+const ABSENT: &str = "-";
 
 const EXAMPLES: &str = "\
 Examples:
@@ -51,15 +53,23 @@
 
 async fn status(matches: &ArgMatches) -> eyre::Result<ExitStatus> {
     let daemon = daemon_flag::address(matches)?;
-    let reply = exchange(daemon, Method::GET, "/v1/status", &[], Bytes::new(), LIMIT).await?;
-    let shown = String::from_utf8_lossy(&reply.body);
+    let reply = exchange(
+        daemon,
+        Method::GET,
+        "/v1/status",
+        &[],
+        Bytes::new(),
+        REPLY_LIMIT,
+    )
+    .await?;
+    let body_text = String::from_utf8_lossy(&reply.body);
     if reply.status != StatusCode::OK {
-        eyre::bail!("{daemon}: unexpected status {}: {shown}", reply.status);
+        eyre::bail!("{daemon}: unexpected status {}: {body_text}", reply.status);
     }
     let parsed: DaemonStatus = serde_json::from_slice(&reply.body)
         .wrap_err_with(|| format!("{daemon}: unexpected answer"))?;
     if matches.get_flag("json") {
-        output_line!("{shown}");
+        output_line!("{body_text}");
     } else {
         print_status(&parsed);
     }
@@ -69,9 +79,9 @@
     })
 }
 
-/// One line of the table of services.
+/// One row of the table of services.
 #[derive(Tabled)]
-struct ServiceLine {
+struct ServiceRow {
     service: String,
     place: String,
     generation: u64,
@@ -90,7 +100,7 @@
     ejected: String,
 }
 
-impl ServiceLine {
+impl ServiceRow {
     fn new(service: &ServiceName, place: &PlaceName, status: &PlaceStatus) -> Self {
         let root = status.root.as_ref();
         Self {
@@ -99,14 +109,16 @@
             generation: status.generation,
             weight: optional(status.weight),
             limit: optional(status.limit),
-            snapshots: root.map_or(NONE.to_owned(), |root| joined(&root.snapshots)),
+            snapshots: root.map_or(ABSENT.to_owned(), |root| joined(&root.snapshots)),
             serving_set: joined(&status.serving_set),
             leafs: status.leafs,
-            coverage: root.map_or(NONE.to_owned(), |root| coverage_percent(&root.coverage)),
-            admitted: root.map_or(NONE.to_owned(), |root| format!("{:.1}", root.admitted_rate)),
-            draining: root.map_or(NONE.to_owned(), |root| joined(&root.draining)),
-            unreachable: root.map_or(NONE.to_owned(), |root| joined(&root.unreachable)),
-            ejected: root.map_or(NONE.to_owned(), |root| joined(&root.ejected)),
+            coverage: root.map_or(ABSENT.to_owned(), |root| coverage_percent(&root.coverage)),
+            admitted: root.map_or(ABSENT.to_owned(), |root| {
+                format!("{:.1}", root.admitted_rate)
+            }),
+            draining: root.map_or(ABSENT.to_owned(), |root| joined(&root.draining)),
+            unreachable: root.map_or(ABSENT.to_owned(), |root| joined(&root.unreachable)),
+            ejected: root.map_or(ABSENT.to_owned(), |root| joined(&root.ejected)),
         }
     }
 }
@@ -137,31 +149,31 @@
         status.claim_view_members
     );
     output_line!("A `-` in the last six columns: this daemon is not a root there.");
-    let lines = status.services.iter().flat_map(|(service, state)| {
+    let rows = status.services.iter().flat_map(|(service, state)| {
         let places = state.places.iter();
-        places.map(move |(place, state)| ServiceLine::new(service, place, state))
+        places.map(move |(place, state)| ServiceRow::new(service, place, state))
     });
-    let mut table = Table::new(lines);
+    let mut table = Table::new(rows);
     table.with(Style::sharp());
     output_line!("{table}");
 }
 
-/// Shards answered, of those addressed by complete and partial answers since the start.
+/// Percentage of shards answered, over all complete and partial answers since the daemon started.
 fn coverage_percent(counts: &CoverageCounts) -> String {
     if counts.shards_total == 0 {
-        return NONE.to_owned();
+        return ABSENT.to_owned();
     }
     let share = counts.shards_answered as f64 / counts.shards_total as f64;
     format!("{:.3}", share * 100.0)
 }
 
 fn optional(value: Option<impl ToString>) -> String {
-    value.map_or(NONE.to_owned(), |value| value.to_string())
+    value.map_or(ABSENT.to_owned(), |value| value.to_string())
 }
 
 fn joined<T: ToString>(values: &[T]) -> String {
     if values.is_empty() {
-        return NONE.to_owned();
+        return ABSENT.to_owned();
     }
     let texts: Vec<String> = values.iter().map(T::to_string).collect();
     texts.join(" ")
--- a/crates/tansylead-cli/src/table_commands/accept.rs
+++ b/crates/tansylead-cli/src/table_commands/accept.rs
@@ -1,4 +1,4 @@
-//! `tansylead table accept`: puts a proposal into the store and, on request, waits until it is in
+//! `tansylead table accept`: writes a proposal to the store and, with `--wait`, waits until it is in
 //! force on all live daemons.
 
 use super::arguments::{self, daemon_of, file_of, store_of};
@@ -23,7 +23,7 @@
 const WAIT_SECONDS: &str = "wait-seconds";
 const TIME_LIMIT_SECONDS: &str = "time-limit-seconds";
 
-/// Describes the command.
+/// Definition of the command.
 pub fn command() -> Command {
     Command::new(NAME)
         .about("Put a proposal into the store; repeat it to find out about a lost answer")
@@ -55,7 +55,7 @@
         )
 }
 
-/// Carries it out.
+/// Runs the command.
 pub async fn run(matches: &ArgMatches) -> eyre::Result<ExitStatus> {
     let file = file_of(matches)?;
     let proposal = files::read_proposal(file)?;
@@ -103,7 +103,7 @@
     }
 }
 
-/// Performs the actions of the state machine until it has an outcome.
+/// Performs the actions of the state machine until it reports an outcome.
 async fn drive(
     store: &StoreClient,
     proposal: Proposal,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Performs one request; without one it never ends.
+/// Performs one request to the store. Without a request it never completes.
 async fn perform(store: &StoreClient, action: Option<AcceptAction>) -> AcceptEvent {
     match action {
         Some(AcceptAction::Read) => match store.get(&ObjectKey::Table).await {
--- a/crates/tansylead-cli/src/table_commands/arguments.rs
+++ b/crates/tansylead-cli/src/table_commands/arguments.rs
@@ -1,4 +1,4 @@
-//! Arguments that several table commands share.
+//! Arguments that several table commands have in common.
 
 use clap::{Arg, ArgAction, ArgMatches, value_parser};
 use std::net::SocketAddr;
--- a/crates/tansylead-cli/src/table_commands/check.rs
+++ b/crates/tansylead-cli/src/table_commands/check.rs
@@ -1,4 +1,4 @@
-//! `tansylead table check`: everything that is wrong with a CSV file, by line and column.
+//! `tansylead table check`: lists all errors and warnings of a CSV file by line and column.
 
 use super::arguments::{self, file_of, store_of};
 use super::files;
@@ -10,7 +10,7 @@
 /// Name of the command.
 pub const NAME: &str = "check";
 
-/// Describes the command.
+/// Definition of the command.
 pub fn command() -> Command {
     Command::new(NAME)
         .about("Check FILE; errors and warnings name line and column")
@@ -18,7 +18,7 @@
         .arg(arguments::optional_store())
 }
 
-/// Carries it out.
+/// Runs the command.
 pub async fn run(matches: &ArgMatches) -> eyre::Result<ExitStatus> {
     let file = file_of(matches)?;
     let text = files::read(file)?;
--- a/crates/tansylead-cli/src/table_commands/files.rs
+++ b/crates/tansylead-cli/src/table_commands/files.rs
@@ -1,4 +1,4 @@
-//! Files beside an operator's table: `FILE.base` (what it was pulled from) and
+//! Files next to an operator's table: `FILE.base` (the state it was pulled from) and
 //! `FILE.proposal-G.toml` (a proposal based on generation G).
 
 use crate::exit_code::ExitStatus;
@@ -46,7 +46,7 @@
     Proposal::from_document(&read(file)?).wrap_err_with(|| format!("read {}", file.display()))
 }
 
-/// Prints findings, each after the name of the file, and tells the exit status they call for.
+/// Prints findings, each after the name of the file, and returns the matching exit status.
 pub fn report(file: &Path, findings: &[Finding]) -> ExitStatus {
     for finding in findings {
         output_line!("{}: {finding}", file.display());
--- a/crates/tansylead-cli/src/table_commands/history.rs
+++ b/crates/tansylead-cli/src/table_commands/history.rs
@@ -1,4 +1,4 @@
-//! `tansylead table history`: the last accepted changes, as the table in the store records them.
+//! `tansylead table history`: lists the last accepted changes that the table in the store records.
 
 use super::arguments::{self, store_of};
 use super::store_access::read_table;
@@ -12,14 +12,14 @@
 /// Name of the command.
 pub const NAME: &str = "history";
 
-/// Describes the command.
+/// Definition of the command.
 pub fn command() -> Command {
     Command::new(NAME)
         .about("List the last accepted changes of the table")
         .arg(arguments::store())
 }
 
-/// Carries it out.
+/// Runs the command.
 pub async fn run(matches: &ArgMatches) -> eyre::Result<ExitStatus> {
     let store = store_of(matches).ok_or_else(|| eyre::eyre!("no store given"))?;
     let Some(stored) = read_table(store).await? else {
@@ -27,14 +27,14 @@
         return Ok(ExitStatus::Success);
     };
     let generation = stored.generation;
-    let lines = recorded(stored).into_iter().map(ChangeLine::new);
-    let mut table = Table::new(lines);
+    let rows = recent_changes(stored).into_iter().map(ChangeRow::new);
+    let mut table = Table::new(rows);
     table.with(Style::sharp());
     output_line!("generation {generation}\n{table}");
     Ok(ExitStatus::Success)
 }
 
-fn recorded(stored: StoredObject) -> Vec<TableChange> {
+fn recent_changes(stored: StoredObject) -> Vec<TableChange> {
     match stored.object {
         Some(ConfigObject::Table(table)) => table.recent_changes,
         _ => Vec::new(),
@@ -42,7 +42,7 @@
 }
 
 #[derive(Tabled)]
-struct ChangeLine {
+struct ChangeRow {
     generation: u64,
     #[tabled(rename = "proposed at")]
     proposed_at: String,
@@ -51,7 +51,7 @@
     change: String,
 }
 
-impl ChangeLine {
+impl ChangeRow {
     fn new(change: TableChange) -> Self {
         let WallTime(millis) = change.proposed_at;
         let proposed_at = UNIX_EPOCH.checked_add(Duration::from_millis(millis));
--- a/crates/tansylead-cli/src/table_commands/in_force.rs
+++ b/crates/tansylead-cli/src/table_commands/in_force.rs
@@ -1,4 +1,4 @@
-//! Waits until a store revision is in force on all live daemons, as one daemon reports it.
+//! Waits until one daemon reports that a store revision is in force on all live daemons.
 
 use super::store_access::ask_daemon;
 use crate::exit_code::ExitStatus;
@@ -8,19 +8,19 @@
 use tansylead_types::in_force::IN_FORCE_PATH;
 use tokio::time::Instant;
 
-/// Pause between two questions.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Pause between two polls of the daemon.
+const POLL_PAUSE: Duration = Duration::from_millis(300);
 
-/// Asks until all live daemons have the revision in force or the time has passed; prints the count
-/// and the daemons that are missing. A daemon that does not answer is asked again: the change is
-/// accepted whatever it says.
+/// Polls the daemon until all live daemons have the revision in force or the limit has passed, then
+/// prints the count and the daemons that are missing. If the daemon does not answer, it is polled
+/// again: the change has been accepted in any case.
 pub async fn wait(daemon: SocketAddr, revision: u64, limit: Duration) -> ExitStatus {
     let deadline = Instant::now() + limit;
     let path = format!("{IN_FORCE_PATH}?revision={revision}");
     loop {
         let answer: eyre::Result<InForceAnswer> = ask_daemon(daemon, &path).await;
         let is_everywhere = answer.as_ref().is_ok_and(is_everywhere);
-        if is_everywhere || Instant::now() + PAUSE >= deadline {
+        if is_everywhere || Instant::now() + POLL_PAUSE >= deadline {
             match &answer {
                 Ok(answer) => output_line!("{}", describe(answer)),
                 Err(error) => output_line!("not known on which daemons it is in force: {error:#}"),
@@ -31,7 +31,7 @@
                 ExitStatus::NotInForce
             };
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_PAUSE).await;
     }
 }
 
--- a/crates/tansylead-cli/src/table_commands/mod.rs
+++ b/crates/tansylead-cli/src/table_commands/mod.rs
@@ -1,7 +1,7 @@
 //! `tansylead table`: pull, check, propose, review, accept and history of the operators' table.
 //!
-//! Each command is one module here; the decisions are in `tansylead-table`, the store's interface
-//! in `tansylead_daemon::platform`.
+//! Each command is one module here. The logic is in `tansylead-table`, the client of the store in
+//! `tansylead_daemon::platform`.
 
 mod accept;
 mod arguments;
--- a/crates/tansylead-cli/src/table_commands/propose.rs
+++ b/crates/tansylead-cli/src/table_commands/propose.rs
@@ -1,4 +1,5 @@
-//! `tansylead table propose`: an edited table as a proposal bound to its base.
+//! `tansylead table propose`: writes the changes to an edited table as a proposal based on what was
+//! pulled.
 
 use super::arguments::{self, file_of, is_forced, store_of};
 use super::files;
@@ -12,12 +13,12 @@
 /// Name of the command.
 pub const NAME: &str = "propose";
 
-/// Longest author or comment, in characters; both travel to every daemon.
+/// Maximum length of the author and of the comment, in characters: both are sent to every daemon.
 const MAXIMUM_TEXT_CHARACTERS: usize = 100;
 const AUTHOR: &str = "author";
 const COMMENT: &str = "comment";
 
-/// Describes the command.
+/// Definition of the command.
 pub fn command() -> Command {
     Command::new(NAME)
         .about("Write the change that FILE makes to its base as FILE.proposal-GENERATION.toml")
@@ -27,14 +28,14 @@
                 .long(COMMENT)
                 .value_name("TEXT")
                 .required(true)
-                .value_parser(short_line)
+                .value_parser(parse_short_line)
                 .help("Why, in one line"),
         )
         .arg(
             Arg::new(AUTHOR)
                 .long(AUTHOR)
                 .value_name("NAME")
-                .value_parser(short_line)
+                .value_parser(parse_short_line)
                 .help("Who proposes it; the user's name if absent"),
         )
         .arg(arguments::optional_store())
@@ -43,7 +44,7 @@
         ))
 }
 
-/// Carries it out.
+/// Runs the command.
 pub async fn run(matches: &ArgMatches) -> eyre::Result<ExitStatus> {
     let file = file_of(matches)?;
     let text = files::read(file)?;
@@ -84,7 +85,7 @@
     Ok(ExitStatus::Success)
 }
 
-fn short_line(text: &str) -> Result<String, String> {
+fn parse_short_line(text: &str) -> Result<String, String> {
     if text.chars().count() > MAXIMUM_TEXT_CHARACTERS || text.contains(char::is_control) {
         return Err(format!(
             "one line of at most {MAXIMUM_TEXT_CHARACTERS} characters"
--- a/crates/tansylead-cli/src/table_commands/review.rs
+++ b/crates/tansylead-cli/src/table_commands/review.rs
@@ -1,4 +1,4 @@
-//! `tansylead table review`: what a proposal changes, and whether its base is still current.
+//! `tansylead table review`: shows what a proposal changes, and whether its base is still current.
 
 use super::arguments::{self, file_of, store_of};
 use super::files;
@@ -11,7 +11,7 @@
 /// Name of the command.
 pub const NAME: &str = "review";
 
-/// Describes the command.
+/// Definition of the command.
 pub fn command() -> Command {
     Command::new(NAME)
         .about("Show in words and numbers what a proposal changes")
@@ -19,7 +19,7 @@
         .arg(arguments::optional_store())
 }
 
-/// Carries it out.
+/// Runs the command.
 pub async fn run(matches: &ArgMatches) -> eyre::Result<ExitStatus> {
     let file = file_of(matches)?;
     let proposal = files::read_proposal(file)?;
@@ -46,25 +46,25 @@
 }
 
 async fn compare_with_store(proposal: &Proposal, store: SocketAddr) -> eyre::Result<ExitStatus> {
-    let held = Base::of(read_table(store).await?.as_ref());
-    if held.change.as_ref() == Some(&proposal.change) {
+    let stored = Base::of(read_table(store).await?.as_ref());
+    if stored.change.as_ref() == Some(&proposal.change) {
         output_line!(
             "the store holds this change as generation {}",
-            held.generation
+            stored.generation
         );
         return Ok(ExitStatus::Success);
     }
-    if held.generation == proposal.base.generation && held.change == proposal.base.change {
+    if stored.generation == proposal.base.generation && stored.change == proposal.base.change {
         output_line!("the store still holds the base");
         return Ok(ExitStatus::Success);
     }
     output_line!(
         "the store holds generation {}; since the base:",
-        held.generation
+        stored.generation
     );
     output!(
         "{}",
-        TableDifference::between(&proposal.base.rows, &held.rows)
+        TableDifference::between(&proposal.base.rows, &stored.rows)
     );
     Ok(ExitStatus::TableConflict)
 }
--- a/crates/tansylead-cli/src/table_commands/store_access.rs
+++ b/crates/tansylead-cli/src/table_commands/store_access.rs
@@ -1,4 +1,4 @@
-//! What the table commands read from the store and from daemons.
+//! Reads of the store and of daemons that the table commands share.
 
 use crate::http_client::{Unreachable, exchange};
 use bytes::Bytes;
@@ -12,22 +12,22 @@
 use tansylead_table::{KnownPlacement, KnownServices};
 use tansylead_types::{ConfigObject, ObjectKey, StoredObject};
 
-/// Time allowed for one question to a daemon.
+/// Time limit for one request to a daemon.
 const DAEMON_LIMIT: Duration = Duration::from_secs(10);
 
-/// The part of a daemon's status that concerns the table.
+/// The field of a daemon's status that the table commands need.
 #[derive(Deserialize)]
 struct TableStatus {
     table_generation: u64,
 }
 
-/// The table as the store holds it.
+/// The table in the store, if it was ever written.
 pub async fn read_table(store: SocketAddr) -> eyre::Result<Option<StoredObject>> {
     let read = StoreClient::new(store).get(&ObjectKey::Table).await;
     Ok(read.map_err(Unreachable)?)
 }
 
-/// Services and placements that the store knows; none without a store.
+/// Services and placements in the store; `None` if no store is given.
 pub async fn known_services(store: Option<SocketAddr>) -> eyre::Result<Option<KnownServices>> {
     let Some(store) = store else {
         return Ok(None);
@@ -50,19 +50,19 @@
     Ok(Some(known))
 }
 
-/// The generation of the table that a daemon has in force.
+/// The generation of the table that is in force at a daemon.
 pub async fn generation_in_force(daemon: SocketAddr) -> eyre::Result<u64> {
     let status: TableStatus = ask_daemon(daemon, "/v1/status").await?;
     Ok(status.table_generation)
 }
 
-/// Asks a daemon for a JSON document.
+/// Requests a JSON document from a daemon.
 pub async fn ask_daemon<T: DeserializeOwned>(daemon: SocketAddr, path: &str) -> eyre::Result<T> {
     let reply = exchange(daemon, Method::GET, path, &[], Bytes::new(), DAEMON_LIMIT).await?;
-    let shown = String::from_utf8_lossy(&reply.body);
+    let body_text = String::from_utf8_lossy(&reply.body);
     if reply.status != StatusCode::OK {
         eyre::bail!(
-            "{daemon}: {path}: unexpected status {}: {shown}",
+            "{daemon}: {path}: unexpected status {}: {body_text}",
             reply.status
         );
     }
--- a/crates/tansylead-cli/tests/output.rs
+++ b/crates/tansylead-cli/tests/output.rs
@@ -1,4 +1,4 @@
-//! Output that nobody reads to the end.
+//! Output to a pipe whose reader has closed it.
 
 use std::path::PathBuf;
 use std::process::Command;
--- a/crates/tansylead-cli/tests/table/main.rs
+++ b/crates/tansylead-cli/tests/table/main.rs
@@ -1,4 +1,4 @@
-//! `tansylead table` as a process against a stand-in store: outputs, exit codes, races, faults.
+//! `tansylead table` run as a process against a simulated store: output, exit codes, races and faults.
 
 mod support;
 
@@ -11,7 +11,7 @@
     screening-1,bangkok,6-18,10,200\n\
     appeals,bangkok,0-24,1,50\n";
 
-/// For acceptances that cannot succeed; the verdict does not depend on it.
+/// Time limit for `accept` runs that cannot succeed; it does not affect their outcome.
 const SHORT_LIMIT: &str = "--time-limit-seconds 3";
 
 #[test]
@@ -177,10 +177,10 @@
             &format!("--daemon {slow} --wait")
         )
     );
-    let cut = bench.start_daemon(0, vec![in_force(2, &[8])]);
-    let more = format!("--daemon {cut} --wait --wait-seconds 1");
+    let incomplete = bench.start_daemon(0, vec![in_force(2, &[8])]);
+    let extra_arguments = format!("--daemon {incomplete} --wait --wait-seconds 1");
     insta::assert_snapshot!(
         "wait-missing",
-        bench.accept("table.csv.proposal-0.toml", &more)
+        bench.accept("table.csv.proposal-0.toml", &extra_arguments)
     );
 }
--- a/crates/tansylead-cli/tests/table/support.rs
+++ b/crates/tansylead-cli/tests/table/support.rs
@@ -1,4 +1,4 @@
-//! A stand-in store, a stand-in daemon, and a directory in which the program is run.
+//! A simulated store, simulated daemons, and a directory in which the program runs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,10 +16,11 @@
 use tokio::runtime::Runtime;
 use tokio_util::sync::CancellationToken;
 
-/// What one run of the program did.
+/// Result of one run of the program.
 pub struct Run {
     pub code: i32,
-    /// Standard output, then standard error, without what differs from run to run.
+    /// Standard output, then standard error, with the store's address replaced by `STORE`: its port differs
+    /// from run to run.
     pub text: String,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl Bench {
-    /// A store with two services, in a fresh directory.
+    /// Starts a store with two services and creates an empty directory.
     pub fn new(name: &str) -> Self {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
@@ -102,7 +103,7 @@
         restored.expect("restored");
     }
 
-    /// The table as the store holds it.
+    /// The table in the store, if it was ever written.
     pub fn stored_table(&self) -> Option<StoredObject> {
         let list = self
             .runtime
@@ -113,14 +114,15 @@
             .find(|object| object.key == ObjectKey::Table)
     }
 
-    /// A daemon that has a generation in force and gives these answers, the last one for ever.
+    /// Starts a daemon that has a generation in force and gives these answers in order, and then always the last
+    /// one.
     pub fn start_daemon(&self, table_generation: u64, answers: Vec<InForceAnswer>) -> SocketAddr {
         let listener = self
             .runtime
             .block_on(TcpListener::bind("127.0.0.1:0"))
             .expect("listens");
         let address = listener.local_addr().expect("address");
-        // The part of a daemon's status that the table commands read.
+        // The field of a daemon's status that the table commands read.
         let status = BTreeMap::from([("table_generation", table_generation)]);
         let answers = std::sync::Arc::new(Mutex::new(answers));
         let serve = http::serve(listener, CancellationToken::new(), move |request, _| {
@@ -153,19 +155,20 @@
         std::fs::read_to_string(self.directory.join(file)).expect("read")
     }
 
-    /// Runs `tansylead table` with the words of a line; `STORE` stands for the store's address.
+    /// Runs `tansylead table` with the arguments in `line`, separated by spaces. `STORE` is replaced by the store's
+    /// address.
     pub fn table(&self, line: &str) -> Run {
         let store = self.store.to_string();
-        let words = line.split(' ').map(|word| {
-            if word == "STORE" {
+        let arguments = line.split(' ').map(|argument| {
+            if argument == "STORE" {
                 store.as_str()
             } else {
-                word
+                argument
             }
         });
         let output = Command::new(env!("CARGO_BIN_EXE_tansylead"))
             .arg("table")
-            .args(words)
+            .args(arguments)
             .env("USER", "somchai")
             .current_dir(&self.directory)
             .output()
@@ -185,8 +188,8 @@
         self.table(&format!("propose {file} --comment test --store STORE"))
     }
 
-    pub fn accept(&self, proposal: &str, more: &str) -> Run {
+    pub fn accept(&self, proposal: &str, extra_arguments: &str) -> Run {
         let line = format!("accept {proposal} --store STORE");
-        self.table(format!("{line} {more}").trim_end())
+        self.table(format!("{line} {extra_arguments}").trim_end())
     }
 }
