--- a/crates/tansylead-gateway/src/leaf/attempt.rs
+++ b/crates/tansylead-gateway/src/leaf/attempt.rs
@@ -169,8 +169,8 @@
     let address = leaf.entry().address;
     let started = Clock.now();
     let options = ConnectOptions {
-        limit: connect_limit,
-        silence: Some(LEAF_SILENCE),
+        connect_limit,
+        silence_limit: Some(LEAF_SILENCE),
         read_buffer_bytes: Some(READ_BUFFER_BYTES),
     };
     let opened = HttpConnection::open(address, options, ()).await;
--- a/crates/tansylead-gateway/src/leaf/end_check.rs
+++ b/crates/tansylead-gateway/src/leaf/end_check.rs
@@ -59,7 +59,8 @@
     match connecting.await {
         Ok(Ok(stream)) => {
             let options = ConnectOptions::within(PROBE_LIMIT);
-            if let Ok(connection) = HttpConnection::over(stream, address, options, ()).await {
+            if let Ok(connection) = HttpConnection::from_stream(stream, address, options, ()).await
+            {
                 leaf.give_back(connection, None);
             }
             Probe::Open
--- a/crates/tansylead-http/src/connection.rs
+++ b/crates/tansylead-http/src/connection.rs
@@ -1,4 +1,4 @@
-//! An open connection: one request at a time, whole replies.
+//! An open connection: one request at a time, with replies that are read completely.
 
 use crate::silence::end_after_silence;
 use bytes::Bytes;
@@ -13,50 +13,50 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Silence that ends a connection unless its user states another limit: requests have deadlines of their own,
-/// and a link that was cut for some seconds may bring the answer yet.
-const USUAL_SILENCE: Duration = Duration::from_secs(8);
+/// Default limit for a silent peer. It can be generous: requests have deadlines of their own, and after a network
+/// partition of a few seconds the answer may still arrive.
+const DEFAULT_SILENCE_LIMIT: Duration = Duration::from_secs(8);
 
-/// How a connection is opened.
+/// Limits and sizes of a connection to be opened.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectOptions {
-    /// Time for it to come up.
-    pub limit: Duration,
-    /// A peer that is silent this long ends the connection, in use or at rest; none leaves it to the
-    /// system.
-    pub silence: Option<Duration>,
-    /// Bytes of the read buffer; none for the library's own choice.
+    /// Time limit for connecting.
+    pub connect_limit: Duration,
+    /// The connection is closed, in use or idle, once the peer has been silent this long. With `None` the operating
+    /// system decides.
+    pub silence_limit: Option<Duration>,
+    /// Size of the read buffer in bytes; `None` leaves it to the HTTP library.
     pub read_buffer_bytes: Option<usize>,
 }
 
 impl ConnectOptions {
-    /// A limit for the connection to come up, and the usual one for silence.
-    pub fn within(limit: Duration) -> Self {
+    /// Options with this limit for connecting and the default limit for silence.
+    pub fn within(connect_limit: Duration) -> Self {
         Self {
-            limit,
-            silence: Some(USUAL_SILENCE),
+            connect_limit,
+            silence_limit: Some(DEFAULT_SILENCE_LIMIT),
             read_buffer_bytes: None,
         }
     }
 }
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Debug)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// A request without a whole reply.
+/// A request that got no complete reply.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// The request never left the connection's queue: nothing of it was written.
+    /// The request never left the connection's queue: no byte of it was written.
     NotWritten(StepError),
-    /// Some of the request may have been received.
+    /// The peer may have received some or all of the request.
     MaybeReceived(StepError),
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// An open connection. Dropping it closes the socket, whatever is in progress.
+/// An open connection. Dropping it closes the socket, even during an exchange.
 #[derive(Debug)]
 pub struct HttpConnection {
     address: SocketAddr,
@@ -77,14 +77,14 @@
 }
 
 impl HttpConnection {
-    /// Connects. `held` is dropped when the socket has been closed.
+    /// Connects. `guard` is dropped when the socket has been closed.
     pub async fn open(
         address: SocketAddr,
         options: ConnectOptions,
-        held: impl Send + 'static,
+        guard: impl Send + 'static,
     ) -> Result<Self, StepError> {
         const STEP: &str = "connect";
-        let limit = options.limit;
+        let limit = options.connect_limit;
         let connecting = tokio::time::timeout(limit, TcpStream::connect(address));
         let stream = match connecting.await {
             Ok(Ok(stream)) => stream,
@@ -94,26 +94,26 @@
                 return Err(StepError::new(STEP, address, cause));
             }
         };
-        Self::over(stream, address, options, held).await
+        Self::from_stream(stream, address, options, guard).await
     }
 
-    /// Speaks over a stream that is connected to `address`. `held` is dropped when the socket has been closed.
-    pub async fn over(
+    /// Uses a stream that is connected to `address`. `guard` is dropped when the socket has been closed.
+    pub async fn from_stream(
         stream: TcpStream,
         address: SocketAddr,
         options: ConnectOptions,
-        held: impl Send + 'static,
+        guard: impl Send + 'static,
     ) -> Result<Self, StepError> {
         const STEP: &str = "connect";
-        set_options(&stream, options.silence);
+        set_options(&stream, options.silence_limit);
         let (sender, connection) = http1::Builder::new()
             .read_buf_exact_size(options.read_buffer_bytes)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|cause| StepError::new(STEP, address, cause))?;
         let driver = tokio::spawn(async move {
-            let _held = held;
-            // Failures reach whoever waits for an answer on this connection.
+            let _guard = guard;
+            // The exchange in progress receives the error too.
             let _ = connection.await;
         });
         Ok(Self {
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Whether the connection has been closed, as far as is known.
+    /// Whether the connection is known to be closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
@@ -138,7 +138,7 @@
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and reads the whole reply. If the future is dropped, the connection must be
+    /// Sends a request and reads the complete reply. If the future is dropped, the connection must be
     /// dropped too.
     pub async fn exchange(
         &mut self,
@@ -150,7 +150,7 @@
         match self.sender.try_send_request(request).await {
             Ok(response) => read_reply(response, address, maximum_bytes).await,
             Err(mut failure) => {
-                // The message comes back only if it was never taken from the queue for writing.
+                // The library returns the request only if it was never taken from the queue for writing.
                 let never_written = failure.take_message().is_some();
                 let cause = failure.into_error();
                 let error = StepError::new(STEP, address, text_with_sources(&cause));
@@ -164,11 +164,11 @@
     }
 }
 
-fn set_options(stream: &TcpStream, silence: Option<Duration>) {
-    // An option that cannot be set only makes answers slower.
+fn set_options(stream: &TcpStream, silence_limit: Option<Duration>) {
+    // A failure to set this option only makes replies slower.
     let _ = stream.set_nodelay(true);
-    if let Some(silence) = silence {
-        end_after_silence(stream, silence);
+    if let Some(limit) = silence_limit {
+        end_after_silence(stream, limit);
     }
 }
 
--- a/crates/tansylead-http/src/lib.rs
+++ b/crates/tansylead-http/src/lib.rs
@@ -1,8 +1,9 @@
-//! One HTTP/1.1 client connection.
+//! A single HTTP/1.1 client connection.
 //!
-//! Pooled clients send a request again by themselves and hide whether it was written; then *at most
-//! once* and *not run* cannot be kept. This connection tells the two ends of a failed request apart
-//! and never repeats one. Pools and choices belong to its users.
+//! Pooled clients retry requests on their own and hide whether a request was written, so the guarantees *at most
+//! once* and *not run* cannot be built on them. This connection never retries, and it distinguishes a failed request
+//! that was not written from one that the server may have received. Pooling and the choice of a connection are left
+//! to the callers.
 
 mod connection;
 mod silence;
--- a/crates/tansylead-http/src/silence.rs
+++ b/crates/tansylead-http/src/silence.rs
@@ -1,27 +1,27 @@
-//! Ends connections whose peer has gone silent without a reset.
+//! Closes connections whose peer has gone silent without a reset.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Probes without an answer that end a connection at rest.
-const PROBES: u32 = 2;
-/// Shortest time between probes that systems offer.
-const SHORTEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keepalive probes after which an idle connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Shortest keepalive interval that operating systems support.
+const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Has the system end a connection whose peer acknowledges nothing for `limit`, whether data is under way or
-/// the connection rests: at rest the system sends probes.
+/// Has the operating system close a connection whose peer acknowledges nothing for `limit`, whether data is in
+/// flight or the connection is idle. It probes idle connections for that.
 pub fn end_after_silence(stream: &TcpStream, limit: Duration) {
     let keepalive = TcpKeepalive::new()
-        .with_time((limit / 2).max(SHORTEST_INTERVAL))
-        .with_interval((limit / 4).max(SHORTEST_INTERVAL))
-        .with_retries(PROBES);
+        .with_time((limit / 2).max(MIN_KEEPALIVE_INTERVAL))
+        .with_interval((limit / 4).max(MIN_KEEPALIVE_INTERVAL))
+        .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
-    let set = socket
+    let result = socket
         .set_tcp_keepalive(&keepalive)
         .and_then(|()| socket.set_tcp_user_timeout(Some(limit)));
-    if let Err(error) = set {
-        // The connection works without, but its loss is noticed later.
-        log::debug!(error:% = error; "silence of a connection is not watched");
+    if let Err(error) = result {
+        // The connection works without these options, but its loss is noticed later.
+        log::debug!(error:% = error; "socket options that detect a silent peer could not be set");
     }
 }
--- a/crates/tansylead-http/tests/connection.rs
+++ b/crates/tansylead-http/tests/connection.rs
@@ -1,4 +1,4 @@
-//! What the connection tells of failed requests.
+//! Replies, failed requests and the closing of a connection.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_reply_is_given_with_status_headers_and_body() {
+async fn a_complete_reply_has_status_headers_and_body() {
     let address = server(b"HTTP/1.1 200 OK\r\nX-Kind: a\r\nContent-Length: 2\r\n\r\nok").await;
     let reply = open(address).await.exchange(request(), MAXIMUM_BYTES).await;
     let reply = reply.expect("a reply");
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn a_reply_beyond_the_limit_is_none() {
+async fn a_reply_larger_than_the_limit_is_an_error() {
     let address = server(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n123456789").await;
     let reply = open(address).await.exchange(request(), 4).await;
     assert!(
@@ -88,11 +88,11 @@
 }
 
 #[tokio::test]
-async fn what_is_held_is_dropped_with_the_connection() {
+async fn the_guard_is_dropped_with_the_connection() {
     let address = server(b"").await;
-    let (held, dropped) = oneshot::channel::<()>();
+    let (guard, dropped) = oneshot::channel::<()>();
     let options = ConnectOptions::within(Duration::from_secs(5));
-    let connection = HttpConnection::open(address, options, held).await;
+    let connection = HttpConnection::open(address, options, guard).await;
     drop(connection.expect("connects"));
     assert!(dropped.await.is_err(), "the sender was dropped");
 }
