--- a/crates/tansylead-cli/src/status_command.rs
+++ b/crates/tansylead-cli/src/status_command.rs
@@ -21,7 +21,7 @@
 /// Time limit for the daemon's reply.
 const REPLY_LIMIT: Duration = Duration::from_secs(10);
 /// Printed for a value that is absent.
-const ABSENT: &str = "-";
+const NONE: &str = "-";
 
 const EXAMPLES: &str = "\
 Examples:
@@ -109,16 +109,14 @@
             generation: status.generation,
             weight: optional(status.weight),
             limit: optional(status.limit),
-            snapshots: root.map_or(ABSENT.to_owned(), |root| joined(&root.snapshots)),
+            snapshots: root.map_or(NONE.to_owned(), |root| joined(&root.snapshots)),
             serving_set: joined(&status.serving_set),
             leafs: status.leafs,
-            coverage: root.map_or(ABSENT.to_owned(), |root| coverage_percent(&root.coverage)),
-            admitted: root.map_or(ABSENT.to_owned(), |root| {
-                format!("{:.1}", root.admitted_rate)
-            }),
-            draining: root.map_or(ABSENT.to_owned(), |root| joined(&root.draining)),
-            unreachable: root.map_or(ABSENT.to_owned(), |root| joined(&root.unreachable)),
-            ejected: root.map_or(ABSENT.to_owned(), |root| joined(&root.ejected)),
+            coverage: root.map_or(NONE.to_owned(), |root| coverage_percent(&root.coverage)),
+            admitted: root.map_or(NONE.to_owned(), |root| format!("{:.1}", root.admitted_rate)),
+            draining: root.map_or(NONE.to_owned(), |root| joined(&root.draining)),
+            unreachable: root.map_or(NONE.to_owned(), |root| joined(&root.unreachable)),
+            ejected: root.map_or(NONE.to_owned(), |root| joined(&root.ejected)),
         }
     }
 }
@@ -161,19 +159,19 @@
 /// Percentage of shards answered, over all complete and partial answers since the daemon started.
 fn coverage_percent(counts: &CoverageCounts) -> String {
     if counts.shards_total == 0 {
-        return ABSENT.to_owned();
+        return NONE.to_owned();
     }
     let share = counts.shards_answered as f64 / counts.shards_total as f64;
     format!("{:.3}", share * 100.0)
 }
 
 fn optional(value: Option<impl ToString>) -> String {
-    value.map_or(ABSENT.to_owned(), |value| value.to_string())
+    value.map_or(NONE.to_owned(), |value| value.to_string())
 }
 
 fn joined<T: ToString>(values: &[T]) -> String {
     if values.is_empty() {
-        return ABSENT.to_owned();
+        return NONE.to_owned();
     }
     let texts: Vec<String> = values.iter().map(T::to_string).collect();
     texts.join(" ")
--- a/crates/tansylead-http/src/silence.rs
+++ b/crates/tansylead-http/src/silence.rs
@@ -22,6 +22,6 @@
         .and_then(|()| socket.set_tcp_user_timeout(Some(limit)));
     if let Err(error) = result {
         // The connection works without these options, but its loss is noticed later.
-        log::debug!(error:% = error; "socket options that detect a silent peer could not be set");
+        log::debug!(error:% = error; "keepalive of a connection could not be set");
     }
 }
