--- a/crates/tansylead-cli/src/status_command.rs
+++ b/crates/tansylead-cli/src/status_command.rs
@@ -1,4 +1,4 @@
-//! `tansylead status`: prints the state of a daemon and of the cluster as it sees it.
+//! `tansylead status`: prints the state of a daemon and its view of the cluster.
 
 use crate::commands::Subcommand;
 use crate::daemon_flag;
@@ -18,7 +18,9 @@
 /// The subcommand.
 pub const SUBCOMMAND: Subcommand = Subcommand { command, run };
 
-const LIMIT: Duration = Duration::from_secs(10);
+/// Time limit for the daemon's reply.
+const REPLY_LIMIT: Duration = Duration::from_secs(10);
+/// Printed for a value that is absent.
 const NONE: &str = "-";
 
 const EXAMPLES: &str = "\
@@ -51,15 +53,23 @@
 
 async fn status(matches: &ArgMatches) -> eyre::Result<ExitStatus> {
     let daemon = daemon_flag::address(matches)?;
-    let reply = exchange(daemon, Method::GET, "/v1/status", &[], Bytes::new(), LIMIT).await?;
-    let shown = String::from_utf8_lossy(&reply.body);
+    let reply = exchange(
+        daemon,
+        Method::GET,
+        "/v1/status",
+        &[],
+        Bytes::new(),
+        REPLY_LIMIT,
+    )
+    .await?;
+    let body_text = String::from_utf8_lossy(&reply.body);
     if reply.status != StatusCode::OK {
-        eyre::bail!("{daemon}: unexpected status {}: {shown}", reply.status);
+        eyre::bail!("{daemon}: unexpected status {}: {body_text}", reply.status);
     }
     let parsed: DaemonStatus = serde_json::from_slice(&reply.body)
         .wrap_err_with(|| format!("{daemon}: unexpected answer"))?;
     if matches.get_flag("json") {
-        output_line!("{shown}");
+        output_line!("{body_text}");
     } else {
         print_status(&parsed);
     }
@@ -69,9 +79,9 @@
     })
 }
 
-/// One line of the table of services.
+/// One row of the table of services.
 #[derive(Tabled)]
-struct ServiceLine {
+struct ServiceRow {
     service: String,
     place: String,
     generation: u64,
@@ -90,7 +100,7 @@
     ejected: String,
 }
 
-impl ServiceLine {
+impl ServiceRow {
     fn new(service: &ServiceName, place: &PlaceName, status: &PlaceStatus) -> Self {
         let root = status.root.as_ref();
         Self {
@@ -137,16 +147,16 @@
         status.claim_view_members
     );
     output_line!("A `-` in the last six columns: this daemon is not a root there.");
-    let lines = status.services.iter().flat_map(|(service, state)| {
+    let rows = status.services.iter().flat_map(|(service, state)| {
         let places = state.places.iter();
-        places.map(move |(place, state)| ServiceLine::new(service, place, state))
+        places.map(move |(place, state)| ServiceRow::new(service, place, state))
     });
-    let mut table = Table::new(lines);
+    let mut table = Table::new(rows);
     table.with(Style::sharp());
     output_line!("{table}");
 }
 
-/// Shards answered, of those addressed by complete and partial answers since the start.
+/// Percentage of shards answered, over all complete and partial answers since the daemon started.
 fn coverage_percent(counts: &CoverageCounts) -> String {
     if counts.shards_total == 0 {
         return NONE.to_owned();
