--- a/crates/tansylead-gateway/src/cluster/members.rs
+++ b/crates/tansylead-gateway/src/cluster/members.rs
@@ -5,7 +5,7 @@
 use super::roll_out_codec::RollOutCodec;
 use super::view::ClusterView;
 use crate::clock::Clock;
-use crate::quarantine::{QuarantineCodec, QuarantineMessage, ToSend};
+use crate::quarantine::{OutgoingMessages, QuarantineCodec, QuarantineMessage};
 use crate::roll_out::{RollOutLink, RollOutMessage};
 use crate::state::{Gateway, StopPhase};
 use std::collections::BTreeMap;
@@ -175,7 +175,7 @@
 
     /// Tells other daemons of requests under which leafs end.
     fn send_quarantine(&self) {
-        let ToSend {
+        let OutgoingMessages {
             wide,
             relayed,
             replies,
--- a/crates/tansylead-gateway/src/daemon.rs
+++ b/crates/tansylead-gateway/src/daemon.rs
@@ -5,7 +5,7 @@
 use crate::cluster::{ClusterView, MemberDriver, PeerFeed, SourceFeed, find_daemons, serve_peers};
 use crate::headers::HeaderNames;
 use crate::metrics::serve_metrics;
-use crate::quarantine::{catch_up, exchange, forget_old, keep_changes};
+use crate::quarantine::{catch_up, exchange, remove_expired, write_to_source};
 use crate::roll_out::{RollOutLink, RollOutTask};
 use crate::settings::GatewaySettings;
 use crate::source::Source;
@@ -142,12 +142,12 @@
         Rc::clone(view),
         Rc::clone(&source),
     ));
-    spawn_local(keep_changes(
+    spawn_local(write_to_source(
         Rc::clone(gateway),
         Rc::clone(view),
         Rc::clone(&source),
     ));
-    spawn_local(forget_old(
+    spawn_local(remove_expired(
         Rc::clone(gateway),
         Rc::clone(view),
         Rc::clone(&source),
--- a/crates/tansylead-gateway/src/execution/attempts.rs
+++ b/crates/tansylead-gateway/src/execution/attempts.rs
@@ -83,7 +83,7 @@
                 fingerprints: self.fingerprints,
                 sent: sent.at,
                 lost: Clock.now(),
-                care: self.in_flight.care(),
+                care: self.in_flight.limiter(),
             };
             self.leaf.lost_runs().abandon(run);
         }
--- a/crates/tansylead-gateway/src/execution/call_care.rs
+++ b/crates/tansylead-gateway/src/execution/call_care.rs
@@ -88,7 +88,7 @@
             return SendAdmission::Now;
         }
         let now = Clock.now();
-        if care.has_waited_too_long(now) {
+        if care.has_trial_wait_expired(now) {
             return SendAdmission::Never;
         }
         match self.next_trial_recheck() {
@@ -100,7 +100,7 @@
     fn is_untried_suspect(&self) -> bool {
         let care = &self.shared.care;
         let is_suspect = self.quarantine_verdict() == Verdict::Suspect;
-        is_suspect && !care.is_tried() && !care.is_answered()
+        is_suspect && !care.has_trial_begun() && !care.is_answered()
     }
 
     /// When to check again whether a suspect may be tried; none if it may be now.
@@ -110,14 +110,14 @@
         }
         let care = &self.shared.care;
         let now = Clock.now();
-        let turn = care.turn(now);
+        let turn = care.trial_start(now);
         if now < turn {
             return Some(turn);
         }
         let quarantine = &self.gateway.quarantine;
         let until = quarantine.trial_until(&self.request.fingerprints)?;
         // Whoever waits for the same trial does not go on at the same moment.
-        care.give_up_turn();
+        care.reset_trial_start();
         Some(until)
     }
 
@@ -130,7 +130,7 @@
         move || {
             let is_suspect = gateway.quarantine.verdict(&request) == Verdict::Suspect;
             if is_suspect && !care.is_answered() {
-                care.set_tried();
+                care.set_trial_begun();
                 gateway.quarantine.begin_trial(&request);
             }
         }
--- a/crates/tansylead-gateway/src/execution/call_end.rs
+++ b/crates/tansylead-gateway/src/execution/call_end.rs
@@ -1,6 +1,6 @@
 //! How a call ended, and what the calls of one request share.
 
-use crate::quarantine::SendCare;
+use crate::quarantine::SendLimiter;
 use std::cell::Cell;
 use std::rc::Rc;
 use tansylead_http::Reply;
@@ -13,7 +13,7 @@
     /// Whether a leaf has refused an attempt without running it.
     pub was_refused: Cell<bool>,
     /// Whether leafs end under the request.
-    pub care: Rc<SendCare>,
+    pub care: Rc<SendLimiter>,
 }
 
 /// How a call ended.
--- a/crates/tansylead-gateway/src/execution/request_quarantine.rs
+++ b/crates/tansylead-gateway/src/execution/request_quarantine.rs
@@ -4,7 +4,7 @@
 use super::call_end::SharedProgress;
 use super::outcome::Refusal;
 use crate::leaf::OutgoingRequest;
-use crate::quarantine::SendCare;
+use crate::quarantine::SendLimiter;
 use crate::state::Gateway;
 use std::rc::Rc;
 use tansylead_route::RequestFingerprints;
@@ -13,7 +13,7 @@
 pub(super) struct RequestQuarantine {
     gateway: Rc<Gateway>,
     fingerprints: RequestFingerprints,
-    care: Rc<SendCare>,
+    care: Rc<SendLimiter>,
 }
 
 impl RequestQuarantine {
--- a/crates/tansylead-gateway/src/leaf/lost_runs.rs
+++ b/crates/tansylead-gateway/src/leaf/lost_runs.rs
@@ -1,6 +1,6 @@
 //! The requests whose connections to one leaf were lost, until it is known whether the leaf has ended.
 
-use crate::quarantine::SendCare;
+use crate::quarantine::SendLimiter;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     /// When the connection was lost.
     pub lost: Moment,
     /// The care for the request.
-    pub care: Rc<SendCare>,
+    pub care: Rc<SendLimiter>,
 }
 
 /// The requests of one leaf.
--- a/crates/tansylead-gateway/src/quarantine/exchange.rs
+++ b/crates/tansylead-gateway/src/quarantine/exchange.rs
@@ -1,8 +1,8 @@
-//! Keeps what daemons hold of requests under which leafs end the same: news are sent at once (`state`), and
-//! what is lost on the way comes again with digests.
+//! Keeps the records of requests under which leafs end in sync between daemons: changes are sent at once
+//! (`state`), and lost messages are made up for by exchanging digests.
 //!
-//! A daemon that has just started learns from others what was quarantined before. Only if none can tell, since
-//! all have started together, some ask the source.
+//! A daemon that has just started learns from others what was quarantined before. Only if none knows, since
+//! all have started together, some read it from the source.
 
 use super::state::QuarantineState;
 use crate::cluster::ClusterView;
@@ -12,45 +12,45 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Period at which a daemon that holds anything compares it with another: three rounds reach all of a small
-/// fleet that a datagram has missed, within half of the shortest time in which the users count a machine as in
+/// Period at which a daemon with records sends its digest to another: three rounds reach all daemons of a small
+/// fleet that missed a datagram, within half of the shortest time in which the users count a machine as in
 /// touch (5 s).
 const PERIOD: Duration = Duration::from_millis(800);
-/// Period at which a daemon that has just started asks others.
-const START_PERIOD: Duration = Duration::from_millis(250);
-/// Longest pause between tries of a daemon that nobody has told.
-const LONGEST_START_PAUSE: Duration = Duration::from_secs(4);
-/// Daemons that one that has just started asks at once.
+/// Initial backoff between the digests that a daemon sends until it knows what was quarantined before.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest such backoff.
+const MAXIMUM_BACKOFF: Duration = Duration::from_secs(4);
+/// Daemons to which a daemon that has just started sends its digest at once.
 const START_PEERS: usize = 3;
-/// A daemon that no other has told by then asks the source, whoever it is.
-const SOURCE_WAIT: Duration = Duration::from_secs(3);
+/// After this time a daemon that got no answer reads the source itself, also if it does not watch it.
+const SOURCE_DELAY: Duration = Duration::from_secs(3);
 
-/// Learns what was quarantined before this daemon started, then compares until the task is ended.
+/// Learns what was quarantined before this daemon started, then sends digests until the task is ended.
 pub(crate) async fn exchange<S: Source>(
     gateway: Rc<Gateway>,
     view: Rc<ClusterView>,
     source: Rc<S>,
 ) {
-    learn(&gateway, &view, source.as_ref()).await;
+    learn_quarantined(&gateway, &view, source.as_ref()).await;
     loop {
         tokio::time::sleep(jittered(PERIOD)).await;
         let state = &gateway.quarantine;
         if state.has_records() {
-            ask(state, &view, 1);
+            send_digests(state, &view, 1);
         }
     }
 }
 
-async fn learn<S: Source>(gateway: &Gateway, view: &ClusterView, source: &S) {
-    let mut pause = START_PERIOD;
+async fn learn_quarantined<S: Source>(gateway: &Gateway, view: &ClusterView, source: &S) {
+    let mut backoff = INITIAL_BACKOFF;
     while !gateway.quarantine.is_complete() {
-        // Daemons that watch the source are few in any fleet, and seeds until it has formed.
-        if view.is_watcher() || gateway.uptime() > SOURCE_WAIT {
+        // Only a few daemons of a fleet watch the source; until the fleet has formed, its seeds do.
+        if view.is_watcher() || gateway.uptime() > SOURCE_DELAY {
             read_source(gateway, source).await;
         }
-        ask(&gateway.quarantine, view, START_PEERS);
-        tokio::time::sleep(jittered(pause)).await;
-        pause = (pause * 2).min(LONGEST_START_PAUSE);
+        send_digests(&gateway.quarantine, view, START_PEERS);
+        tokio::time::sleep(jittered(backoff)).await;
+        backoff = (backoff * 2).min(MAXIMUM_BACKOFF);
     }
 }
 
@@ -61,18 +61,18 @@
     }
 }
 
-fn ask(state: &QuarantineState, view: &ClusterView, peers: usize) {
+fn send_digests(state: &QuarantineState, view: &ClusterView, peers: usize) {
     for peer in view.random_peers(peers) {
-        state.ask(peer);
+        state.send_digest(peer);
     }
 }
 
-fn jittered(pause: Duration) -> Duration {
-    pause.mul_f64(rand::random_range(0.5..1.5))
+fn jittered(duration: Duration) -> Duration {
+    duration.mul_f64(rand::random_range(0.5..1.5))
 }
 
-/// Compares with several daemons, after this one did not run for a while.
+/// Sends digests to several daemons, after this process did not run for a while.
 pub(crate) async fn catch_up(gateway: Rc<Gateway>, view: Rc<ClusterView>) {
     tokio::time::sleep(PauseGuard::DISTRUST).await;
-    ask(&gateway.quarantine, &view, START_PEERS);
+    send_digests(&gateway.quarantine, &view, START_PEERS);
 }
--- a/crates/tansylead-gateway/src/quarantine/leaf_ends.rs
+++ b/crates/tansylead-gateway/src/quarantine/leaf_ends.rs
@@ -1,4 +1,4 @@
-//! Looks whether a leaf has ended under the requests whose connections to it were lost.
+//! Checks whether a leaf has ended while requests ran there whose connections were lost.
 
 use crate::leaf::{EndSign, LeafState, LostRun, Probe, probe, watch_entry};
 use crate::state::Gateway;
@@ -7,10 +7,10 @@
 use tansylead_route::{RequestFingerprint, Strike};
 use tokio::task::spawn_local;
 
-/// Fingerprints named in the line on one leaf's end.
-const MAXIMUM_TOLD: usize = 4;
+/// Fingerprints listed in the log line on one leaf's end.
+const MAXIMUM_LOGGED: usize = 4;
 
-/// Notes that the connection to a leaf was lost under a request, and looks whether the leaf has ended.
+/// Records that the connection to a leaf was lost under a request, and checks whether the leaf has ended.
 pub(crate) fn on_lost(gateway: &Rc<Gateway>, leaf: &Rc<LeafState>, run: LostRun) {
     if leaf.lost_runs().add(run) {
         let (gateway, leaf) = (Rc::clone(gateway), Rc::clone(leaf));
@@ -48,13 +48,13 @@
     }
 }
 
-/// A leaf has ended under requests: a strike against each that no leaf has answered. One that said it was leaving
-/// has ended for that.
+/// Adds a strike for each request that ran on a leaf that has ended, unless a leaf has answered the request. A leaf
+/// that said it was leaving has ended for that reason: no strikes then.
 fn on_ended(gateway: &Gateway, leaf: &LeafState, sign: EndSign, runs: &[LostRun]) {
     if leaf.is_leaving() {
         return;
     }
-    tell(gateway, leaf, sign, runs);
+    report_end(gateway, leaf, sign, runs);
     let ended = leaf.entry().run();
     let lost = runs.iter().map(|run| run.lost).min();
     let abandoned = lost.map_or(Vec::new(), |lost| leaf.lost_runs().take_abandoned(lost));
@@ -66,19 +66,19 @@
         let strike = Strike::new(&ended, run.sent, run.lost, run.fingerprints.caller);
         gateway.quarantine.on_strike(&run.fingerprints, strike);
     }
-    // What was decided concerns requests that wait.
+    // Requests that wait may be admitted or refused now.
     for run in runs {
         run.care.on_decided();
     }
 }
 
-fn tell(gateway: &Gateway, leaf: &LeafState, sign: EndSign, runs: &[LostRun]) {
+fn report_end(gateway: &Gateway, leaf: &LeafState, sign: EndSign, runs: &[LostRun]) {
     gateway.metrics.on_leaf_ended(sign.label());
     let fingerprints: BTreeSet<RequestFingerprint> =
         runs.iter().map(|run| run.fingerprints.exact).collect();
-    let told: Vec<String> = fingerprints
+    let listed: Vec<String> = fingerprints
         .iter()
-        .take(MAXIMUM_TOLD)
+        .take(MAXIMUM_LOGGED)
         .map(RequestFingerprint::to_string)
         .collect();
     let entry = leaf.entry();
@@ -87,7 +87,7 @@
         service = entry.service.as_str(),
         sign = sign.label(),
         requests = fingerprints.len(),
-        fingerprints = told.join(" ").as_str();
+        fingerprints = listed.join(" ").as_str();
         "leaf ended under requests"
     );
 }
--- a/crates/tansylead-gateway/src/quarantine/messages.rs
+++ b/crates/tansylead-gateway/src/quarantine/messages.rs
@@ -1,4 +1,4 @@
-//! What daemons send one another about requests under which leafs end.
+//! Messages between daemons about requests under which leafs end.
 
 use crate::cluster::{DatagramCodec, DatagramMessage};
 use serde::{Deserialize, Serialize};
@@ -7,22 +7,22 @@
 /// A message between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineMessage {
-    /// What the sender holds of one request.
+    /// The sender's record of one request.
     Record(QuarantineRecord),
-    /// The sender begins to try a suspect, named by its path.
+    /// The sender begins a trial of a suspect, identified by the fingerprint of its path.
     Trial(RequestFingerprint),
-    /// What the sender holds of all, as a hash. One that holds something else answers with its records.
+    /// Hash of all the sender's records. A daemon with other records answers with its own.
     Digest(TableDigest),
 }
 
-/// What a daemon holds, as a hash.
+/// Hash of a daemon's records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableDigest {
     /// The hash.
     pub hash: u64,
     /// Whether the sender knows what was quarantined before it started.
     pub is_complete: bool,
-    /// Whether this answers another digest; then none comes back.
+    /// Whether this answers another digest; a reply is not answered with a digest.
     pub is_reply: bool,
 }
 
--- a/crates/tansylead-gateway/src/quarantine/outbox.rs
+++ b/crates/tansylead-gateway/src/quarantine/outbox.rs
@@ -1,6 +1,6 @@
-//! What waits to be told to other daemons about requests under which leafs end.
+//! Queue of messages to other daemons about requests under which leafs end.
 //!
-//! Invariant: it is bounded in records, replies and messages a second; what is dropped comes again with the
+//! Invariant: it is bounded in records, replies and messages a second; what is dropped is sent again by the
 //! exchange of digests.
 
 use super::messages::QuarantineMessage;
@@ -12,36 +12,36 @@
 use tansylead_route::{QuarantineRecord, RequestFingerprint};
 use tokio::sync::Notify;
 
-/// Records told in a second, each to some peers, of requests that were struck once: with 32 peers and some 100
-/// bytes a record 160 kB while leafs end by the hundred, and nothing on calm days.
+/// Records of requests with a single strike sent in a second, each to some peers: with 32 peers and some 100 bytes
+/// a record 160 kB while leafs end by the hundred, and nothing if none ends.
 const RECORDS_PER_SECOND: u32 = 50;
-/// The same of serious suspects and of trials, of which there are few: victims must not keep them from being
-/// told.
-const SERIOUS_PER_SECOND: u32 = 50;
-/// Answers that wait to be sent to single peers.
+/// The same for likely causes and for trials, of which there are few. Their limit is separate, so that records of
+/// requests that only ran on the same leafs don't crowd them out.
+const LIKELY_CAUSES_PER_SECOND: u32 = 50;
+/// Replies to single peers in the queue.
 const MAXIMUM_REPLIES: usize = 64;
 
-/// How far a record is told.
+/// How many daemons a record is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Reach {
-    /// To the daemons of the zone and many others: it is this daemon's own news.
+pub(super) enum Fanout {
+    /// To the daemons of the zone and many others: the change was found by this daemon.
     Wide,
-    /// To a few: it is news of another daemon, which has told many.
+    /// To a few: the change came from another daemon, which has sent it to many.
     Relayed,
 }
 
-/// What is to be sent.
+/// Messages to be sent.
 #[derive(Debug, Default)]
-pub struct ToSend {
-    /// Records of this daemon's own news, and the trials that it begins.
+pub struct OutgoingMessages {
+    /// Records that this daemon changed itself, and the trials that it begins.
     pub wide: Vec<QuarantineMessage>,
-    /// Records of others' news.
+    /// Records that other daemons changed.
     pub relayed: Vec<QuarantineMessage>,
     /// Messages to single peers.
     pub replies: Vec<(SocketAddr, Vec<QuarantineMessage>)>,
 }
 
-/// What waits.
+/// The queue.
 #[derive(Debug)]
 pub(super) struct Outbox {
     wide: RefCell<BTreeSet<RequestFingerprint>>,
@@ -49,7 +49,7 @@
     trials: RefCell<BTreeSet<RequestFingerprint>>,
     replies: RefCell<Vec<(SocketAddr, Vec<QuarantineMessage>)>>,
     limit: PerSecondLimit,
-    serious_limit: PerSecondLimit,
+    likely_cause_limit: PerSecondLimit,
     added: Notify,
 }
 
@@ -61,26 +61,26 @@
             trials: RefCell::default(),
             replies: RefCell::default(),
             limit: PerSecondLimit::new(RECORDS_PER_SECOND),
-            serious_limit: PerSecondLimit::new(SERIOUS_PER_SECOND),
+            likely_cause_limit: PerSecondLimit::new(LIKELY_CAUSES_PER_SECOND),
             added: Notify::new(),
         }
     }
 }
 
 impl Outbox {
-    /// Adds the record of a request, as it is when it is sent.
+    /// Adds the record of a request; its content is that at the time of sending.
     pub(super) fn add_record(
         &self,
         fingerprint: RequestFingerprint,
-        reach: Reach,
-        is_serious: bool,
+        fanout: Fanout,
+        is_likely_cause: bool,
     ) {
-        let queue = match reach {
-            Reach::Wide => &self.wide,
-            Reach::Relayed => &self.relayed,
+        let queue = match fanout {
+            Fanout::Wide => &self.wide,
+            Fanout::Relayed => &self.relayed,
         };
-        let limit = match is_serious {
-            true => &self.serious_limit,
+        let limit = match is_likely_cause {
+            true => &self.likely_cause_limit,
             false => &self.limit,
         };
         self.add(queue, fingerprint, limit);
@@ -88,7 +88,7 @@
 
     /// Adds a trial that this daemon begins.
     pub(super) fn add_trial(&self, fingerprint: RequestFingerprint) {
-        self.add(&self.trials, fingerprint, &self.serious_limit);
+        self.add(&self.trials, fingerprint, &self.likely_cause_limit);
     }
 
     fn add(
@@ -97,8 +97,8 @@
         fingerprint: RequestFingerprint,
         limit: &PerSecondLimit,
     ) {
-        let waits = queue.borrow().contains(&fingerprint);
-        if !waits && limit.try_take(Clock.now()) {
+        let is_queued = queue.borrow().contains(&fingerprint);
+        if !is_queued && limit.try_take(Clock.now()) {
             queue.borrow_mut().insert(fingerprint);
             self.added.notify_one();
         }
@@ -118,17 +118,17 @@
         self.added.notified().await;
     }
 
-    /// Takes all out; `record` gives what is held of a request now.
+    /// Takes all messages out; `record` returns the current record of a request.
     pub(super) fn take(
         &self,
         record: impl Fn(RequestFingerprint) -> Option<QuarantineRecord>,
-    ) -> ToSend {
+    ) -> OutgoingMessages {
         let records = |queue: &RefCell<BTreeSet<RequestFingerprint>>| {
             let records = queue.take().into_iter().filter_map(&record);
             records.map(QuarantineMessage::Record).collect::<Vec<_>>()
         };
         let trials = self.trials.take().into_iter().map(QuarantineMessage::Trial);
-        ToSend {
+        OutgoingMessages {
             wide: trials.chain(records(&self.wide)).collect(),
             relayed: records(&self.relayed),
             replies: self.replies.take(),
--- a/crates/tansylead-gateway/src/quarantine/kept_changes.rs
+++ b/crates/tansylead-gateway/src/quarantine/source_writes.rs
@@ -1,16 +1,16 @@
-//! Convictions and clearings that the source must keep, until they are taken to it.
+//! Queue of quarantined and cleared requests that are still to be written to the source.
 
 use std::cell::RefCell;
 use tansylead_route::{MAXIMUM_RECORDS, RequestFingerprint};
 use tokio::sync::Notify;
 
-/// Changes that wait for the source: as many as requests are remembered.
+/// Bound of the queue: as many as there are records of requests.
 const MAXIMUM_WAITING: usize = MAXIMUM_RECORDS;
 
-/// A change that the source must keep.
+/// A change that is to be written to the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeptChange {
-    /// The request is quarantined; found here, or told by another daemon that keeps it first.
+pub enum SourceWrite {
+    /// The request is quarantined, by this daemon or by another one, which writes it first.
     Quarantined {
         /// The request.
         fingerprint: RequestFingerprint,
@@ -21,16 +21,16 @@
     Cleared(RequestFingerprint),
 }
 
-/// The changes that wait.
+/// The queue.
 #[derive(Debug, Default)]
-pub(super) struct KeptChanges {
-    waiting: RefCell<Vec<KeptChange>>,
+pub(super) struct SourceWrites {
+    waiting: RefCell<Vec<SourceWrite>>,
     added: Notify,
 }
 
-impl KeptChanges {
-    /// Adds one.
-    pub(super) fn add(&self, change: KeptChange) {
+impl SourceWrites {
+    /// Adds a change; drops it if the queue is full.
+    pub(super) fn add(&self, change: SourceWrite) {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() < MAXIMUM_WAITING {
             waiting.push(change);
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Waits until there are some, and takes them out.
-    pub(super) async fn take(&self) -> Vec<KeptChange> {
+    /// Waits until the queue is not empty, and takes all changes out.
+    pub(super) async fn take(&self) -> Vec<SourceWrite> {
         while self.waiting.borrow().is_empty() {
             self.added.notified().await;
         }
--- a/crates/tansylead-gateway/src/quarantine/state.rs
+++ b/crates/tansylead-gateway/src/quarantine/state.rs
@@ -1,8 +1,8 @@
-//! The requests under which leafs end, as this daemon knows them, and what follows for its requests.
+//! This daemon's records of requests under which leafs end, and the verdicts on its own requests.
 
-use super::kept_changes::{KeptChange, KeptChanges};
 use super::messages::{QuarantineMessage, TableDigest};
-use super::outbox::{Outbox, Reach, ToSend};
+use super::outbox::{Fanout, Outbox, OutgoingMessages};
+use super::source_writes::{SourceWrite, SourceWrites};
 use super::trials::Trials;
 use crate::clock::Clock;
 use crate::execution::{Refusal, RefusalReason};
@@ -19,28 +19,28 @@
 use tansylead_types::Moment;
 use tokio::sync::Notify;
 
-/// Lines on changes of verdicts in a second; each leaf that ends changes those on several requests.
+/// Log lines a second on changes of verdicts; each leaf that ends changes those on several requests.
 const LINES_PER_SECOND: u32 = 20;
 /// Records sent in answer to one digest.
 const RECORDS_IN_EXCHANGE: usize = 32;
-/// Time without a tick, which come four times a second, after which this daemon has stood still: shorter than
-/// what makes two events of one.
-const LONGEST_TICK: Duration = Duration::from_millis(900);
+/// A longer time between two ticks, which come four times a second, means that this process was paused: shorter than
+/// the gap by which strikes count as two events.
+const PAUSE_LIMIT: Duration = Duration::from_millis(900);
 
-/// The state.
+/// The records, and the queues of what is to be sent and written.
 #[derive(Debug)]
 pub struct QuarantineState {
     table: RefCell<Quarantine>,
     outbox: Outbox,
-    /// Trials of other daemons.
+    /// Trials that other daemons run.
     trials: Trials,
-    /// Something was learned.
+    /// Signalled when a record changes.
     changed: Notify,
-    /// What comes after this daemon stood still may have waited meanwhile.
+    /// Messages that come after a pause of this process may be old.
     pause_guard: RefCell<PauseGuard>,
     /// Whether this daemon knows what was quarantined before it started.
     is_complete: Cell<bool>,
-    kept_changes: KeptChanges,
+    source_writes: SourceWrites,
     line_limit: PerSecondLimit,
 }
 
@@ -51,21 +51,21 @@
             outbox: Outbox::default(),
             trials: Trials::default(),
             changed: Notify::new(),
-            pause_guard: RefCell::new(PauseGuard::new(LONGEST_TICK)),
+            pause_guard: RefCell::new(PauseGuard::new(PAUSE_LIMIT)),
             is_complete: Cell::new(false),
-            kept_changes: KeptChanges::default(),
+            source_writes: SourceWrites::default(),
             line_limit: PerSecondLimit::new(LINES_PER_SECOND),
         }
     }
 }
 
 impl QuarantineState {
-    /// What may be done with a request.
+    /// The strictest verdict on a request.
     pub fn verdict(&self, request: &RequestFingerprints) -> Verdict {
         self.table.borrow().strictest_verdict(Clock.now(), request)
     }
 
-    /// The refusal of a request that is quarantined.
+    /// The refusal of a request, if it is quarantined.
     pub fn refusal(&self, request: &RequestFingerprints) -> Option<Refusal> {
         match self.verdict(request) {
             Verdict::Quarantined(left) => Some(Refusal {
@@ -76,53 +76,53 @@
         }
     }
 
-    /// Until when the trial of a suspect by another daemon is waited for; none if there is none.
+    /// Until when to wait for the trial of a suspect by another daemon; `None` if none is running.
     pub fn trial_until(&self, request: &RequestFingerprints) -> Option<Moment> {
         self.trials.until(Clock.now(), request.path)
     }
 
-    /// Notes that this daemon begins to try a suspect, and tells the others.
+    /// Announces to other daemons that this one begins the trial of a suspect.
     pub fn begin_trial(&self, request: &RequestFingerprints) {
         self.outbox.add_trial(request.path);
     }
 
-    /// Waits until something is learned of any request.
+    /// Waits until the record of any request changes.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Requests by verdict.
+    /// Counts of requests by verdict.
     pub fn counts(&self) -> QuarantineCounts {
         self.table.borrow().counts(Clock.now())
     }
 
-    /// Notes that a leaf ended while a request ran there.
+    /// Records that a leaf ended while a request ran there.
     pub fn on_strike(&self, request: &RequestFingerprints, strike: Strike) {
         for fingerprint in request.all() {
             let mut table = self.table.borrow_mut();
             let changed = table.on_strike(Clock.now(), fingerprint, strike);
             drop(table);
-            self.on_change(fingerprint, changed, Reach::Wide);
+            self.on_change(fingerprint, changed, Fanout::Wide);
         }
     }
 
-    /// Notes that a leaf answered a request.
+    /// Records that a leaf answered a request.
     pub fn on_answer(&self, request: &RequestFingerprints) {
         self.table.borrow_mut().note_answered(Clock.now(), request);
         if self.table.borrow().is_empty() {
             return;
         }
         for fingerprint in request.all() {
-            let was_convicted = self.table.borrow().was_quarantined(fingerprint);
+            let was_quarantined = self.table.borrow().was_quarantined(fingerprint);
             let changed = self.table.borrow_mut().on_answer(Clock.now(), fingerprint);
-            if changed.is_some() && was_convicted {
-                self.kept_changes.add(KeptChange::Cleared(fingerprint));
+            if changed.is_some() && was_quarantined {
+                self.source_writes.add(SourceWrite::Cleared(fingerprint));
             }
-            self.on_change(fingerprint, changed, Reach::Wide);
+            self.on_change(fingerprint, changed, Fanout::Wide);
         }
     }
 
-    /// Takes in requests that were quarantined before this daemon started, as the source tells.
+    /// Quarantines requests that the source lists as quarantined before this daemon started.
     pub fn restore(&self, fingerprints: &[RequestFingerprint]) {
         for fingerprint in fingerprints {
             let changed = self.table.borrow_mut().restore(Clock.now(), *fingerprint);
@@ -133,13 +133,13 @@
         self.set_complete();
     }
 
-    /// Has the source keep all that is quarantined once more: it has lost what it kept lately. Returns how many
-    /// requests that are.
-    pub(crate) fn keep_again(&self) -> usize {
+    /// Queues all quarantined requests to be written to the source again, after it lost recent writes. Returns their
+    /// number.
+    pub(crate) fn rewrite_to_source(&self) -> usize {
         let quarantined = self.table.borrow().quarantined(Clock.now());
         for fingerprint in &quarantined {
             let (fingerprint, is_own) = (*fingerprint, false);
-            self.kept_changes.add(KeptChange::Quarantined {
+            self.source_writes.add(SourceWrite::Quarantined {
                 fingerprint,
                 is_own,
             });
@@ -156,17 +156,17 @@
         self.is_complete.set(true);
     }
 
-    /// Forgets what is old. Returns the requests among that which had been quarantined.
-    pub fn forget_old(&self) -> Vec<RequestFingerprint> {
+    /// Removes expired records. Returns the requests among them that had been quarantined.
+    pub fn remove_expired(&self) -> Vec<RequestFingerprint> {
         self.table.borrow_mut().remove_expired(Clock.now())
     }
 
-    /// Whether anything is held that others might lack.
+    /// Whether there are records that other daemons might lack.
     pub fn has_records(&self) -> bool {
         !self.table.borrow().is_empty()
     }
 
-    /// Takes in what another daemon sent.
+    /// Processes messages of another daemon.
     pub fn receive(&self, from: SocketAddr, messages: Vec<QuarantineMessage>) {
         let now = Clock.now();
         let guard = self.pause_guard.borrow();
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Notes that this daemon runs. After it stood still, what waited in the socket looks as if it had just happened,
-    /// and one event would look like two: it is passed over for a moment.
+    /// Records that this process runs. After a pause, old messages from the socket look as if they were new, and one
+    /// event would look like two: messages are dropped for a moment.
     pub fn tick(&self, now: Moment) {
         self.pause_guard.borrow_mut().check(now);
     }
@@ -192,15 +192,15 @@
     fn merge(&self, record: QuarantineRecord) {
         let fingerprint = record.fingerprint;
         let changed = self.table.borrow_mut().merge(Clock.now(), record);
-        let reach = match changed {
-            // The others hold what this daemon knows to be wrong.
-            Some(QuarantineChange::Contradicted) => Reach::Wide,
-            _ => Reach::Relayed,
+        let fanout = match changed {
+            // The others have a record that this daemon knows to be wrong.
+            Some(QuarantineChange::Contradicted) => Fanout::Wide,
+            _ => Fanout::Relayed,
         };
-        self.on_change(fingerprint, changed, reach);
+        self.on_change(fingerprint, changed, fanout);
     }
 
-    /// Answers a digest of something else than is held here.
+    /// Answers a digest that differs from this daemon's own.
     fn compare(&self, from: SocketAddr, digest: TableDigest) {
         let own = self.digest(true);
         if digest.hash == own.hash {
@@ -219,13 +219,13 @@
         if !digest.is_reply {
             messages.push(QuarantineMessage::Digest(own));
         } else if digest.is_complete {
-            // Its records came before it.
+            // The sender's records came before its digest.
             self.set_complete();
         }
         self.outbox.reply(from, messages);
     }
 
-    /// What is held here, as a hash.
+    /// The digest of this daemon's records.
     pub fn digest(&self, is_reply: bool) -> TableDigest {
         TableDigest {
             hash: self.table.borrow().digest(),
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Sends a digest of what is held here to a peer.
-    pub fn ask(&self, peer: SocketAddr) {
+    /// Sends the digest to a peer.
+    pub fn send_digest(&self, peer: SocketAddr) {
         let digest = self.digest(false);
         self.outbox
             .reply(peer, vec![QuarantineMessage::Digest(digest)]);
@@ -245,7 +245,7 @@
         &self,
         fingerprint: RequestFingerprint,
         changed: Option<QuarantineChange>,
-        reach: Reach,
+        fanout: Fanout,
     ) {
         let Some(change) = changed else {
             return;
@@ -254,18 +254,18 @@
             self.trials.end(fingerprint);
         }
         self.changed.notify_waiters();
-        let is_own = reach == Reach::Wide;
-        self.write_line(fingerprint, change, is_own);
+        let is_own = fanout == Fanout::Wide;
+        self.log_change(fingerprint, change, is_own);
         if change == QuarantineChange::Quarantined {
-            self.kept_changes.add(KeptChange::Quarantined {
+            self.source_writes.add(SourceWrite::Quarantined {
                 fingerprint,
                 is_own,
             });
         }
-        self.tell(fingerprint, change, reach);
+        self.queue_record(fingerprint, change, fanout);
     }
 
-    /// Whether whoever tried the request has found out.
+    /// Whether a trial of the request has given a result.
     fn is_decided(change: QuarantineChange) -> bool {
         !matches!(
             change,
@@ -273,12 +273,12 @@
         )
     }
 
-    fn write_line(&self, fingerprint: RequestFingerprint, change: QuarantineChange, is_own: bool) {
+    fn log_change(&self, fingerprint: RequestFingerprint, change: QuarantineChange, is_own: bool) {
         if change == QuarantineChange::Learned {
             return;
         }
-        let is_conviction = change == QuarantineChange::Quarantined;
-        if !self.line_limit.try_take(Clock.now()) && !is_conviction {
+        let is_quarantined = change == QuarantineChange::Quarantined;
+        if !self.line_limit.try_take(Clock.now()) && !is_quarantined {
             count_suppressed(1);
             return;
         }
@@ -286,30 +286,35 @@
         log::info!(fingerprint:% = fingerprint, scope = scope, change = change.label(), is_own = is_own; "request under which leafs end");
     }
 
-    fn tell(&self, fingerprint: RequestFingerprint, change: QuarantineChange, reach: Reach) {
-        // A single strike is told by the daemon that saw it.
-        if reach == Reach::Relayed && change == QuarantineChange::Learned {
+    fn queue_record(
+        &self,
+        fingerprint: RequestFingerprint,
+        change: QuarantineChange,
+        fanout: Fanout,
+    ) {
+        // A single strike is sent only by the daemon that saw it.
+        if fanout == Fanout::Relayed && change == QuarantineChange::Learned {
             return;
         }
-        let is_serious = self.table.borrow().is_likely_cause(fingerprint);
-        self.outbox.add_record(fingerprint, reach, is_serious);
+        let is_likely_cause = self.table.borrow().is_likely_cause(fingerprint);
+        self.outbox.add_record(fingerprint, fanout, is_likely_cause);
     }
 
-    /// Waits until there is something to send.
+    /// Waits until there are messages to send.
     pub async fn to_send(&self) {
         self.outbox.added().await;
     }
 
-    /// Takes out what is to be sent.
-    pub fn take_to_send(&self) -> ToSend {
+    /// Takes out the messages to be sent.
+    pub fn take_to_send(&self) -> OutgoingMessages {
         let table = self.table.borrow();
         let now = Clock.now();
         self.outbox
             .take(|fingerprint| table.record(now, fingerprint))
     }
 
-    /// Waits for changes that the source must keep, and takes them out.
-    pub async fn changes_to_keep(&self) -> Vec<KeptChange> {
-        self.kept_changes.take().await
+    /// Waits for changes that are to be written to the source, and takes them out.
+    pub async fn take_source_writes(&self) -> Vec<SourceWrite> {
+        self.source_writes.take().await
     }
 }
--- a/crates/tansylead-gateway/src/state/era.rs
+++ b/crates/tansylead-gateway/src/state/era.rs
@@ -23,7 +23,7 @@
             return;
         };
         self.metrics.on_source_restored();
-        let quarantined = self.quarantine.keep_again();
+        let quarantined = self.quarantine.rewrite_to_source();
         log::warn!(era_before = known.0, era = era.0, quarantined = quarantined; "source came back from an older copy; what it lost is written again");
     }
 }
--- a/crates/tansylead-gateway/tests/quarantine.rs
+++ b/crates/tansylead-gateway/tests/quarantine.rs
@@ -1,11 +1,11 @@
-//! The care for a request under which leafs end, and what daemons tell one another of it.
+//! The limiter of requests under which leafs end, and the messages between daemons about them.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 use tansylead_gateway::leaf::{LostRun, LostRuns};
 use tansylead_gateway::quarantine::{
-    KeptChange, QuarantineMessage, QuarantineState, SendAdmission, SendCare,
+    QuarantineMessage, QuarantineState, SendAdmission, SendLimiter, SourceWrite,
 };
 use tansylead_gateway::{Clock, execution::RefusalReason};
 use tansylead_route::{RequestFingerprints, RequestIdentity, Strike, Verdict};
@@ -34,8 +34,8 @@
     "127.0.0.1:1".parse().expect("valid address")
 }
 
-/// So many strikes, one after the other, the last just now.
-fn strike(state: &QuarantineState, count: u64) {
+/// Adds `count` strikes, one after the other, the last just now.
+fn add_strikes(state: &QuarantineState, count: u64) {
     const RUN: Duration = Duration::from_millis(30);
     const STEP: Duration = Duration::from_millis(600);
     let now = Clock.now();
@@ -47,86 +47,86 @@
     }
 }
 
-/// Hands over what `from` has to send; returns whether there was anything.
-fn pass_on(from: &QuarantineState, to: &QuarantineState) -> bool {
+/// Delivers all messages of `from`; returns whether there were any.
+fn deliver(from: &QuarantineState, to: &QuarantineState) -> bool {
     let sent = from.take_to_send();
     let replies = sent.replies.into_iter().flat_map(|(_, messages)| messages);
     let messages: Vec<QuarantineMessage> = sent.wide.into_iter().chain(replies).collect();
-    let any = !messages.is_empty();
+    let has_messages = !messages.is_empty();
     to.receive(peer(), messages);
-    any
+    has_messages
 }
 
 #[test]
 fn a_request_under_which_nothing_was_lost_goes_to_all_leafs_at_once() {
-    let care = Rc::new(SendCare::default());
-    let first = care.begin(Verdict::Clear);
-    assert_eq!(care.admission(Verdict::Clear), SendAdmission::Now);
+    let limiter = Rc::new(SendLimiter::default());
+    let first = limiter.begin(Verdict::Clear);
+    assert_eq!(limiter.admission(Verdict::Clear), SendAdmission::Now);
     first.on_lost();
-    assert_eq!(care.admission(Verdict::Clear), SendAdmission::Now);
+    assert_eq!(limiter.admission(Verdict::Clear), SendAdmission::Now);
 }
 
 #[test]
 fn after_two_losses_it_goes_to_one_leaf_at_a_time_until_one_answers() {
-    let care = Rc::new(SendCare::default());
-    let (running, other) = (care.begin(Verdict::Clear), care.begin(Verdict::Clear));
+    let limiter = Rc::new(SendLimiter::default());
+    let (running, other) = (limiter.begin(Verdict::Clear), limiter.begin(Verdict::Clear));
     running.on_lost();
     other.on_lost();
-    assert_eq!(care.admission(Verdict::Clear), SendAdmission::Later);
+    assert_eq!(limiter.admission(Verdict::Clear), SendAdmission::Later);
     drop((running, other));
-    assert_eq!(care.admission(Verdict::Clear), SendAdmission::Later);
-    care.on_checked(true);
-    care.on_checked(true);
-    assert_eq!(care.admission(Verdict::Clear), SendAdmission::Now);
-    let _next = care.begin(Verdict::Clear);
-    assert_eq!(care.admission(Verdict::Clear), SendAdmission::Later);
-    care.on_answer();
-    assert_eq!(care.admission(Verdict::Clear), SendAdmission::Now);
+    assert_eq!(limiter.admission(Verdict::Clear), SendAdmission::Later);
+    limiter.on_checked(true);
+    limiter.on_checked(true);
+    assert_eq!(limiter.admission(Verdict::Clear), SendAdmission::Now);
+    let _next = limiter.begin(Verdict::Clear);
+    assert_eq!(limiter.admission(Verdict::Clear), SendAdmission::Later);
+    limiter.on_answer();
+    assert_eq!(limiter.admission(Verdict::Clear), SendAdmission::Now);
 }
 
 #[test]
 fn lost_answers_of_leafs_that_live_call_for_no_care() {
-    let care = Rc::new(SendCare::default());
-    let running = care.begin(Verdict::Clear);
+    let limiter = Rc::new(SendLimiter::default());
+    let running = limiter.begin(Verdict::Clear);
     running.on_lost();
     running.on_lost();
-    care.on_checked(false);
-    care.on_checked(false);
-    assert_eq!(care.admission(Verdict::Clear), SendAdmission::Now);
+    limiter.on_checked(false);
+    limiter.on_checked(false);
+    assert_eq!(limiter.admission(Verdict::Clear), SendAdmission::Now);
 }
 
 #[test]
 fn a_request_fails_after_two_leafs_have_ended_under_it_one_at_a_time() {
-    let care = Rc::new(SendCare::default());
+    let limiter = Rc::new(SendLimiter::default());
     for _ in 0..2 {
-        assert_eq!(care.admission(Verdict::Suspect), SendAdmission::Now);
-        let canary = care.begin(Verdict::Suspect);
+        assert_eq!(limiter.admission(Verdict::Suspect), SendAdmission::Now);
+        let canary = limiter.begin(Verdict::Suspect);
         canary.on_lost();
         drop(canary);
-        care.on_checked(true);
+        limiter.on_checked(true);
     }
-    assert_eq!(care.admission(Verdict::Suspect), SendAdmission::Never);
-    assert!(!care.is_refused(), "it was not refused, it has run");
+    assert_eq!(limiter.admission(Verdict::Suspect), SendAdmission::Never);
+    assert!(!limiter.is_refused(), "it was not refused, it has run");
 }
 
 #[test]
 fn a_suspect_goes_to_one_leaf_at_a_time_and_a_quarantined_request_to_none() {
-    let care = Rc::new(SendCare::default());
-    assert_eq!(care.admission(Verdict::Suspect), SendAdmission::Now);
-    let _canary = care.begin(Verdict::Suspect);
-    assert_eq!(care.admission(Verdict::Suspect), SendAdmission::Later);
-    assert!(!care.is_refused());
-    assert_eq!(care.admission(HOUR), SendAdmission::Never);
-    assert!(care.is_refused());
+    let limiter = Rc::new(SendLimiter::default());
+    assert_eq!(limiter.admission(Verdict::Suspect), SendAdmission::Now);
+    let _canary = limiter.begin(Verdict::Suspect);
+    assert_eq!(limiter.admission(Verdict::Suspect), SendAdmission::Later);
+    assert!(!limiter.is_refused());
+    assert_eq!(limiter.admission(HOUR), SendAdmission::Never);
+    assert!(limiter.is_refused());
 }
 
 #[test]
 fn a_quarantined_request_is_refused_as_not_run() {
     let state = QuarantineState::default();
-    strike(&state, 2);
+    add_strikes(&state, 2);
     assert_eq!(state.refusal(&fatal()), None);
     let state = QuarantineState::default();
-    strike(&state, 3);
+    add_strikes(&state, 3);
     let refusal = state.refusal(&fatal()).expect("refused");
     assert_eq!(refusal.reason, RefusalReason::EndsLeafs);
     assert_eq!(refusal.reason.status(), 503);
@@ -134,32 +134,32 @@
 }
 
 #[tokio::test]
-async fn news_reach_others_at_once_and_the_source() {
+async fn changes_reach_others_at_once_and_the_source() {
     let (here, there) = (QuarantineState::default(), QuarantineState::default());
-    strike(&here, 3);
-    assert!(pass_on(&here, &there));
+    add_strikes(&here, 3);
+    assert!(deliver(&here, &there));
     assert!(there.refusal(&fatal()).is_some());
-    // Of one caller: the content alone may be innocent.
+    // All strikes are from one caller, so the content alone is not quarantined: it may be innocent.
     let found = |is_own| {
         let narrow = [fatal().exact, fatal().path];
-        narrow.map(|fingerprint| KeptChange::Quarantined {
+        narrow.map(|fingerprint| SourceWrite::Quarantined {
             fingerprint,
             is_own,
         })
     };
-    assert_eq!(here.changes_to_keep().await, found(true));
-    let told = there.changes_to_keep().await;
-    assert!(found(false).iter().all(|change| told.contains(change)));
+    assert_eq!(here.take_source_writes().await, found(true));
+    let received = there.take_source_writes().await;
+    assert!(found(false).iter().all(|write| received.contains(write)));
     there.on_answer(&fatal());
-    assert!(pass_on(&there, &here));
+    assert!(deliver(&there, &here));
     assert_eq!(here.refusal(&fatal()), None);
-    let cleared = there.changes_to_keep().await;
+    let cleared = there.take_source_writes().await;
     let narrow = [fatal().exact, fatal().path];
-    assert_eq!(cleared, narrow.map(KeptChange::Cleared));
+    assert_eq!(cleared, narrow.map(SourceWrite::Cleared));
 }
 
 #[test]
-fn a_convicted_request_is_told_however_many_others_lost_leafs() {
+fn a_convicted_request_is_sent_however_many_others_lost_leafs() {
     const VICTIMS: usize = 300;
     let state = QuarantineState::default();
     let now = Clock.now();
@@ -168,26 +168,26 @@
         let strike = Strike::new(&leaf.into(), now - Duration::from_millis(30), now, 1);
         state.on_strike(&request(&format!("/{victim}")), strike);
     }
-    strike(&state, 4);
-    let told = state.take_to_send().wide;
-    let is_told = |message: &QuarantineMessage| match message {
+    add_strikes(&state, 4);
+    let sent = state.take_to_send().wide;
+    let is_sent = |message: &QuarantineMessage| match message {
         QuarantineMessage::Record(record) => record.fingerprint == fatal().exact,
         QuarantineMessage::Trial(_) | QuarantineMessage::Digest(_) => false,
     };
-    assert!(told.iter().any(is_told));
-    assert!(told.len() < VICTIMS, "{} records", told.len());
+    assert!(sent.iter().any(is_sent));
+    assert!(sent.len() < VICTIMS, "{} records", sent.len());
 }
 
 #[test]
 fn a_daemon_that_has_just_started_learns_from_a_digest() {
     let (old, new) = (QuarantineState::default(), QuarantineState::default());
     old.restore(&[]);
-    strike(&old, 3);
+    add_strikes(&old, 3);
     old.take_to_send();
     assert!(!new.is_complete());
-    new.ask(peer());
-    assert!(pass_on(&new, &old));
-    assert!(pass_on(&old, &new));
+    new.send_digest(peer());
+    assert!(deliver(&new, &old));
+    assert!(deliver(&old, &new));
     assert!(new.refusal(&fatal()).is_some());
     assert!(new.is_complete());
 }
@@ -195,27 +195,27 @@
 #[test]
 fn what_waited_while_a_daemon_stood_still_is_passed_over() {
     let (here, there) = (QuarantineState::default(), QuarantineState::default());
-    strike(&here, 3);
-    // It has not looked for a while: what it reads now is old.
+    add_strikes(&here, 3);
+    // Its last tick is long ago: the messages that it reads now are old.
     there.tick(Clock.now() - Duration::from_secs(3));
-    pass_on(&here, &there);
+    deliver(&here, &there);
     assert_eq!(there.refusal(&fatal()), None);
-    // It has noticed, and may still read what waited.
+    // The tick notices the pause; old messages may still be in the socket.
     there.tick(Clock.now());
-    strike(&here, 4);
-    pass_on(&here, &there);
+    add_strikes(&here, 4);
+    deliver(&here, &there);
     assert_eq!(there.refusal(&fatal()), None);
 }
 
 #[test]
 fn digests_that_agree_end_an_exchange() {
     let (here, there) = (QuarantineState::default(), QuarantineState::default());
-    strike(&here, 3);
-    pass_on(&here, &there);
+    add_strikes(&here, 3);
+    deliver(&here, &there);
     there.take_to_send();
-    here.ask(peer());
-    assert!(pass_on(&here, &there));
-    assert!(!pass_on(&there, &here));
+    here.send_digest(peer());
+    assert!(deliver(&here, &there));
+    assert!(!deliver(&there, &here));
 }
 
 #[test]
