--- a/crates/tansylead-gateway/src/leaf/leaf_state.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_state.rs
@@ -157,7 +157,7 @@
     /// Counts a request that is handed to a connection, as evidence on the leaf's version.
     pub(super) fn begin_send(&self, now: Moment, terms: &SendTerms) -> Option<VersionSend> {
         let target = SendTarget {
-            way: self.way(),
+            round_trip: self.way(),
             is_cold: self.availability.is_cold(now),
         };
         let version = &self.entry().version;
--- a/crates/tansylead-gateway/src/quarantine/exchange.rs
+++ b/crates/tansylead-gateway/src/quarantine/exchange.rs
@@ -73,6 +73,6 @@
 
 /// Sends digests to several daemons, after this process did not run for a while.
 pub(crate) async fn catch_up(gateway: Rc<Gateway>, view: Rc<ClusterView>) {
-    tokio::time::sleep(PauseGuard::DISTRUST).await;
+    tokio::time::sleep(PauseGuard::DISCARD_PERIOD).await;
     send_digests(&gateway.quarantine, &view, START_PEERS);
 }
--- a/crates/tansylead-gateway/src/quarantine/state.rs
+++ b/crates/tansylead-gateway/src/quarantine/state.rs
@@ -170,7 +170,7 @@
     pub fn receive(&self, from: SocketAddr, messages: Vec<QuarantineMessage>) {
         let now = Clock.now();
         let guard = self.pause_guard.borrow();
-        if guard.is_overdue(now) || guard.distrusts(now) {
+        if guard.is_overdue(now) || guard.is_discarding(now) {
             return;
         }
         drop(guard);
--- a/crates/tansylead-gateway/src/roll_out/evaluation_log.rs
+++ b/crates/tansylead-gateway/src/roll_out/evaluation_log.rs
@@ -2,7 +2,7 @@
 
 use super::judge::TrialEvaluation;
 
-/// One line with the counts behind an evaluation: why, and what came of it.
+/// Logs the counts behind an evaluation, the reason and the result.
 pub(super) fn log_counts(evaluation: &TrialEvaluation, why: &str, what: &str) {
     let service = evaluation.roll_out.service.as_str();
     let target = evaluation.roll_out.target.as_str();
--- a/crates/tansylead-gateway/src/roll_out/evidence_log.rs
+++ b/crates/tansylead-gateway/src/roll_out/evidence_log.rs
@@ -1,4 +1,4 @@
-//! What this daemon has seen of both sides since it knows of an order.
+//! This daemon's evidence on the old and the new version since it learned of an order.
 
 use super::version_send::{SendEnd, SendResult};
 use tansylead_route::{OrderId, RollOutEvidence, RouteEvidence, VersionCounts};
@@ -6,7 +6,7 @@
 /// Routes of one service with evidence of their own: few routes lead to a service, and a report has to
 /// fit into a datagram.
 const MAXIMUM_ROUTES: usize = 8;
-/// Stands for all further routes.
+/// Collects the evidence of all further routes.
 const OTHER_ROUTES: u32 = 0;
 
 /// Running totals under one order.
@@ -17,7 +17,7 @@
 }
 
 impl EvidenceLog {
-    /// Nothing seen yet.
+    /// No evidence yet.
     pub(super) fn new(order: OrderId) -> Self {
         Self {
             order,
@@ -30,7 +30,7 @@
         self.order
     }
 
-    /// The totals; what runs now is not among them.
+    /// The totals, without the attempts that are running.
     pub(super) fn totals(&self) -> &RollOutEvidence {
         &self.totals
     }
--- a/crates/tansylead-gateway/src/roll_out/judge.rs
+++ b/crates/tansylead-gateway/src/roll_out/judge.rs
@@ -1,7 +1,7 @@
-//! The trials that this daemon judges: reports in, grants and conclusions out.
+//! The trials that this daemon judges: it gets reports, and returns grants and conclusions.
 //!
-//! Invariants: a trial is kept as long as its order stands and has not ended, also while other daemons are
-//! ranked as its judges; only a ranked judge takes reports in and evaluates its trials.
+//! Invariants: a trial is kept as long as its order is current and has not ended, also while other daemons are
+//! ranked as its judges; only a ranked judge accepts reports and evaluates its trials.
 
 use super::message::GrantMessage;
 use std::collections::BTreeMap;
@@ -12,49 +12,49 @@
 };
 use tansylead_types::{Moment, NodeId, ServiceName};
 
-/// A judge is followed if a report has said so within this time: one quiet period and a half.
+/// A judge counts as followed if a report has said so within this time: one quiet period and a half.
 const FOLLOWED_LIMIT: Duration = Duration::from_millis(1_500);
-/// The source is asked from this long before the shift on: one slow answer and another one.
+/// Reads of the source begin this long before the shift: enough for two slow answers.
 const SOURCE_LEAD: Duration = Duration::from_millis(1_500);
 
-/// Why a report was not taken in.
+/// Why a report was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportRefusal {
     /// This daemon does not rank as a judge of the service.
     NotJudge,
-    /// No such order is known to run.
+    /// The order is not known, or has ended.
     UnknownOrder,
 }
 
-/// What the judge knows beside the reports when it evaluates its trials.
+/// Input of an evaluation besides the reports.
 #[derive(Debug, Clone, Copy)]
 pub struct JudgeContext<'a> {
     /// Daemons that run, this one included.
     pub members: &'a [NodeId],
-    /// Whether the source has answered this daemon lately.
+    /// Whether the source has answered this daemon recently.
     pub is_source_fresh: bool,
 }
 
 /// Result of the evaluation of one trial.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrialEvaluation {
-    /// The order as it was last heard of.
+    /// The newest known state of the order.
     pub roll_out: RollOut,
-    /// Stage now.
+    /// Current stage.
     pub stage: Stage,
-    /// Whether the stage is another one than at the last evaluation.
+    /// Whether the stage has changed since the last evaluation.
     pub is_new_stage: bool,
-    /// What is to be written to the source.
+    /// The conclusion that is to be written to the source.
     pub write: Option<(Conclusion, ConclusionReason)>,
-    /// Whether it is to be noted at the source that the trial runs.
+    /// Whether the beginning of the trial is to be written to the source.
     pub is_beginning: bool,
     /// Whether the trial may conclude soon, so that it matters whether the source answers.
     pub needs_source: bool,
     /// Counts behind the evaluation.
     pub counts: TrialCounts,
-    /// Sends to the target version that the bounds allow after so many requests.
+    /// Sends to the target version that the bounds allow for the counted requests.
     pub allowance: u64,
-    /// Grants to daemons that lack the stage, unasked.
+    /// Unsolicited grants to daemons that have not reported the current stage.
     pub grants: Vec<(NodeId, GrantMessage)>,
 }
 
@@ -65,8 +65,8 @@
     roll_out: RollOut,
     /// When a report last said that this judge is followed.
     followed_at: Option<Moment>,
-    /// The answer to the newest report of each daemon, or what was granted after it.
-    answered: BTreeMap<NodeId, GrantMessage>,
+    /// The last grant to each daemon: the answer to its newest report, or an unsolicited one after it.
+    last_grants: BTreeMap<NodeId, GrantMessage>,
     stage: Option<Stage>,
     /// Whether a completion was held back at the last evaluation.
     is_held_back: bool,
@@ -77,13 +77,13 @@
 pub struct Judge {
     node: NodeId,
     bounds: ExposureBounds,
-    /// Orders that stand and have not ended.
+    /// Current orders that have not ended.
     orders: BTreeMap<ServiceName, RollOut>,
     trials: BTreeMap<ServiceName, JudgedOrder>,
 }
 
 impl Judge {
-    /// A judge that knows of no order.
+    /// A judge without orders.
     pub fn new(node: NodeId, bounds: ExposureBounds) -> Self {
         Self {
             node,
@@ -93,8 +93,7 @@
         }
     }
 
-    /// Takes in the orders as they are known now: trials of orders that have ended, are gone or were replaced
-    /// end.
+    /// Applies the current orders; removes trials of orders that have ended, were removed or replaced.
     pub fn set_orders(&mut self, orders: &RollOuts) {
         let running = orders.orders.iter();
         let running = running.filter(|(_, order)| !order.state.is_final());
@@ -106,20 +105,20 @@
             let order = orders.get(service);
             let current = order.filter(|order| order.order == judged.roll_out.order);
             if let Some(order) = current {
-                judged.note(order);
+                judged.update_order(order);
             }
             current.is_some()
         });
     }
 
-    /// Takes in what was read or written of an order.
+    /// Applies a state of an order that was read or written.
     pub fn on_current(&mut self, roll_out: &RollOut) {
         if let Some(judged) = self.trials.get_mut(&roll_out.service) {
-            judged.note(roll_out);
+            judged.update_order(roll_out);
         }
     }
 
-    /// Takes in a report and answers it. `rank` is this daemon's place among the judges of the service.
+    /// Processes a report and returns the answer. `rank` is this daemon's rank among the judges of the service.
     pub fn on_report(
         &mut self,
         now: Moment,
@@ -159,12 +158,12 @@
         self.trials.values().filter_map(|judged| judged.stage)
     }
 
-    /// Whether a completion waits for the last attempts on old leafs, so that another evaluation is worthwhile soon.
-    pub fn holds_back(&self) -> bool {
+    /// Whether a completion waits for the last attempts on old leafs, so that the next evaluation should come soon.
+    pub fn is_completion_held_back(&self) -> bool {
         self.trials.values().any(|judged| judged.is_held_back)
     }
 
-    /// The trial of a service's order; begun if there is none yet.
+    /// The trial of a service's order; created if there is none yet.
     fn trial(
         &mut self,
         now: Moment,
@@ -187,14 +186,14 @@
             trial: RollOutTrial::new(roll_out.clone(), bounds, judge, now),
             roll_out,
             followed_at: None,
-            answered: BTreeMap::new(),
+            last_grants: BTreeMap::new(),
             bounds,
             stage: None,
             is_held_back: false,
         }
     }
 
-    fn note(&mut self, current: &RollOut) {
+    fn update_order(&mut self, current: &RollOut) {
         let is_same = current.order == self.roll_out.order;
         if is_same && current.changed_at > self.roll_out.changed_at {
             self.roll_out = current.clone();
@@ -216,23 +215,23 @@
             judge,
             boot: report.boot,
             sequence: report.sequence,
-            turn: 0,
+            grant_number: 0,
             grant: self.trial.grant(now, report.reporter),
         };
-        let held = self.answered.get(&report.reporter);
-        let place = (report.boot, report.sequence);
-        if held.is_none_or(|held| (held.boot, held.sequence) < place) {
-            self.answered.insert(report.reporter, answer.clone());
+        let held = self.last_grants.get(&report.reporter);
+        let number = (report.boot, report.sequence);
+        if held.is_none_or(|held| (held.boot, held.sequence) < number) {
+            self.last_grants.insert(report.reporter, answer.clone());
         }
         answer
     }
 
-    /// Grants to daemons that lack the stage.
-    fn unasked_grants(&mut self, now: Moment) -> Vec<(NodeId, GrantMessage)> {
+    /// Grants to daemons that have not reported the current stage.
+    fn unsolicited_grants(&mut self, now: Moment) -> Vec<(NodeId, GrantMessage)> {
         let mut grants = Vec::new();
         for node in self.trial.awaiting_stage(now) {
-            if let Some(last) = self.answered.get_mut(&node) {
-                last.turn += 1;
+            if let Some(last) = self.last_grants.get_mut(&node) {
+                last.grant_number += 1;
                 last.grant = self.trial.grant(now, node);
                 grants.push((node, last.clone()));
             }
@@ -241,7 +240,7 @@
     }
 
     fn evaluate(&mut self, now: Moment, context: JudgeContext<'_>, rank: usize) -> TrialEvaluation {
-        // Once it has concluded, only the write itself can tell whether the source takes it.
+        // After the conclusion only the write itself shows whether the source is reachable.
         let has_concluded = self.stage.is_some_and(|stage| stage >= Stage::Commit);
         let trial_context = TrialContext {
             members: context.members,
@@ -263,7 +262,7 @@
             needs_source: is_followed && self.trial.may_shift_within(now, SOURCE_LEAD),
             counts,
             allowance: allowed as u64,
-            grants: self.unasked_grants(now),
+            grants: self.unsolicited_grants(now),
         }
     }
 
--- a/crates/tansylead-gateway/src/roll_out/judge_metrics.rs
+++ b/crates/tansylead-gateway/src/roll_out/judge_metrics.rs
@@ -22,26 +22,26 @@
     }
 }
 
-/// What became of a message.
+/// The outcome of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MessageFate {
+pub enum MessageOutcome {
     /// Handed to the socket, or to the judge of this daemon.
     Sent,
-    /// Taken in.
+    /// Accepted.
     Received,
     /// This daemon is no judge of the service.
     NotJudge,
-    /// No such order is known to run here.
+    /// The order is not known here, or has ended.
     UnknownOrder,
-    /// It answers no report that was sent lately.
+    /// It answers no recent report.
     Late,
     /// A newer one came before.
     Superseded,
-    /// It waited while this process did not run.
+    /// It came right after a pause of this process, and may be old.
     AfterPause,
 }
 
-impl MessageFate {
+impl MessageOutcome {
     fn label(self) -> &'static str {
         match self {
             Self::Sent => "sent",
@@ -55,7 +55,7 @@
     }
 }
 
-/// Stages that are told.
+/// Stages with a gauge.
 const STAGES: [Stage; 4] = [Stage::Trial, Stage::Shift, Stage::Commit, Stage::RollBack];
 
 /// Name of a conclusion, for logs and metrics.
@@ -79,7 +79,7 @@
 }
 
 impl JudgeMetrics {
-    /// Counters within a registry that has none of these yet.
+    /// Counters at zero, registered with `registry`.
     pub fn new(registry: &Registry) -> Self {
         Self {
             messages: counters(
@@ -120,8 +120,8 @@
     }
 
     /// Counts messages.
-    pub fn on_message(&self, kind: MessageKind, fate: MessageFate) {
-        let labels = [kind.label(), fate.label()];
+    pub fn on_message(&self, kind: MessageKind, outcome: MessageOutcome) {
+        let labels = [kind.label(), outcome.label()];
         self.messages.with_label_values(&labels).inc();
     }
 
@@ -140,7 +140,7 @@
         self.judge_changes.inc();
     }
 
-    /// Sets the trials by stage.
+    /// Sets the counts of trials by stage.
     pub fn set_trials(&self, present: impl Iterator<Item = Stage>) {
         let present: Vec<Stage> = present.collect();
         for stage in STAGES {
@@ -150,13 +150,13 @@
         }
     }
 
-    /// Counts a conclusion.
+    /// Counts a conclusion of a trial.
     pub fn on_conclusion(&self, conclusion: Conclusion, reason: ConclusionReason) {
         let labels = [conclusion_label(conclusion), reason.label()];
         self.conclusions.with_label_values(&labels).inc();
     }
 
-    /// Counts the end of bringing a state into the source.
+    /// Counts the end of writing a state to the source.
     pub fn on_state(&self, state: RollOutState, end: &str) {
         self.states.with_label_values(&[state.label(), end]).inc();
     }
--- a/crates/tansylead-gateway/src/roll_out/link.rs
+++ b/crates/tansylead-gateway/src/roll_out/link.rs
@@ -1,22 +1,22 @@
-//! Messages about roll-outs on their way between the task that makes them and the socket. Bounded: what is too
-//! much is dropped, like a datagram on its way, and counted.
+//! Queues of messages about roll-outs between the roll-out task and the socket. They are bounded: messages beyond
+//! the bound are dropped, like lost datagrams, and counted.
 
 use super::message::RollOutMessage;
 use std::cell::{Cell, RefCell};
 use tansylead_types::NodeId;
 use tokio::sync::Notify;
 
-/// Messages that wait in one direction, at most: those of one second of a judge in a large fleet.
-const MAXIMUM_WAITING: usize = 512;
+/// Bound of the queue of each direction: the messages of a judge in a large fleet in one second.
+const MAXIMUM_QUEUED: usize = 512;
 
-/// Messages of one direction.
+/// The queue of one direction.
 #[derive(Debug)]
-struct Waiting<M> {
+struct MessageQueue<M> {
     messages: RefCell<Vec<M>>,
     added: Notify,
 }
 
-impl<M> Waiting<M> {
+impl<M> MessageQueue<M> {
     fn new() -> Self {
         Self {
             messages: RefCell::default(),
@@ -26,7 +26,7 @@
 
     fn add(&self, message: M, dropped: &Cell<u64>) {
         let mut messages = self.messages.borrow_mut();
-        if messages.len() >= MAXIMUM_WAITING {
+        if messages.len() >= MAXIMUM_QUEUED {
             dropped.set(dropped.get() + 1);
             return;
         }
@@ -35,26 +35,26 @@
     }
 }
 
-/// The link of one daemon.
+/// The queues of one daemon.
 #[derive(Debug)]
 pub struct RollOutLink {
-    to_peers: Waiting<(NodeId, RollOutMessage)>,
-    from_peers: Waiting<RollOutMessage>,
+    to_peers: MessageQueue<(NodeId, RollOutMessage)>,
+    from_peers: MessageQueue<RollOutMessage>,
     dropped: Cell<u64>,
 }
 
 impl Default for RollOutLink {
     fn default() -> Self {
         Self {
-            to_peers: Waiting::new(),
-            from_peers: Waiting::new(),
+            to_peers: MessageQueue::new(),
+            from_peers: MessageQueue::new(),
             dropped: Cell::new(0),
         }
     }
 }
 
 impl RollOutLink {
-    /// Adds a message to a peer.
+    /// Queues a message to a peer.
     pub fn send(&self, to: NodeId, message: RollOutMessage) {
         self.to_peers.add((to, message), &self.dropped);
     }
@@ -69,24 +69,24 @@
         self.to_peers.messages.take()
     }
 
-    /// Adds messages of a peer.
+    /// Queues messages from a peer.
     pub fn receive(&self, messages: Vec<RollOutMessage>) {
         for message in messages {
             self.from_peers.add(message, &self.dropped);
         }
     }
 
-    /// Waits until there are messages of peers.
+    /// Waits until there are messages from peers.
     pub async fn received(&self) {
         self.from_peers.added.notified().await;
     }
 
-    /// Takes all messages of peers out.
+    /// Takes all messages from peers out.
     pub fn take_received(&self) -> Vec<RollOutMessage> {
         self.from_peers.messages.take()
     }
 
-    /// Messages that were dropped since this was last asked.
+    /// Number of messages that were dropped since the last call.
     pub fn take_dropped(&self) -> u64 {
         self.dropped.take()
     }
--- a/crates/tansylead-gateway/src/roll_out/message.rs
+++ b/crates/tansylead-gateway/src/roll_out/message.rs
@@ -1,10 +1,10 @@
-//! What daemons and the judges of a roll-out tell one another.
+//! Messages between daemons and the judges of a roll-out.
 
 use serde::{Deserialize, Serialize};
 use tansylead_route::{Grant, OrderId, RollOutReport};
 use tansylead_types::{NodeId, ServiceName};
 
-/// The answer of a judge to a report, or what it grants later without another report.
+/// The answer of a judge to a report, or a later unsolicited grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantMessage {
     /// Service.
@@ -13,20 +13,20 @@
     pub order: OrderId,
     /// The judge.
     pub judge: NodeId,
-    /// Run of the reporter, as in the report.
+    /// The reporter's boot, as in the report.
     pub boot: u64,
-    /// Number of the report that it answers: the reporter takes answers in this order.
+    /// Sequence of the report that it answers: the reporter accepts answers in this order.
     pub sequence: u64,
-    /// Grants that were sent after the same report before, unasked ones.
-    pub turn: u32,
+    /// Number of this grant among those after the same report: 0 is the answer, later ones are unsolicited.
+    pub grant_number: u32,
     /// What the reporter may send.
     pub grant: Grant,
 }
 
 impl GrantMessage {
-    /// Place among all grants of one judge.
-    pub fn place(&self) -> (u64, u32) {
-        (self.sequence, self.turn)
+    /// Position among all grants of one judge to one run of the reporter.
+    pub fn position(&self) -> (u64, u32) {
+        (self.sequence, self.grant_number)
     }
 }
 
--- a/crates/tansylead-gateway/src/roll_out/metrics.rs
+++ b/crates/tansylead-gateway/src/roll_out/metrics.rs
@@ -1,9 +1,9 @@
-//! Counters of what goes to versions under trial.
+//! Metrics of the sends to versions under trial.
 
 use prometheus::{IntCounter, IntCounterVec, IntGaugeVec, Opts, Registry};
 use tansylead_route::Stage;
 
-/// Counters of what goes to versions under trial. Copies count together.
+/// Metrics of the sends to versions under trial. Clones share their counters.
 #[derive(Debug, Clone)]
 pub struct RollOutMetrics {
     sends: IntCounterVec,
@@ -12,7 +12,7 @@
 }
 
 impl RollOutMetrics {
-    /// Counters at zero, told by a registry.
+    /// Counters at zero, registered with `registry`.
     pub fn new(registry: &Registry) -> Self {
         let metrics = Self::default();
         let collectors: [Box<dyn prometheus::core::Collector>; 3] = [
@@ -31,26 +31,26 @@
         self.sends.with_label_values(&[stage.label()]).inc();
     }
 
-    /// Counts an attempt that was meant for a version under trial and found nothing granted.
+    /// Counts an attempt for a version under trial that was not sent, as the grant was used up or had ended.
     pub(super) fn on_grant_gone(&self) {
         self.grant_gone.inc();
     }
 
-    /// Tells how many sends the grant for a service still allows.
+    /// Sets how many sends the grant for a service still allows.
     pub(super) fn set_sends_left(&self, service: &str, sends: u64) {
         let gauge = self.sends_left.with_label_values(&[service]);
         gauge.set(i64::try_from(sends).unwrap_or(i64::MAX));
     }
 
-    /// Forgets a service of which no version is under trial any more.
-    pub(super) fn forget(&self, service: &str) {
-        // It is absent if nothing was ever granted.
+    /// Removes the gauge of a service without a version under trial.
+    pub(super) fn remove_service(&self, service: &str) {
+        // The gauge is absent if nothing was ever granted.
         let _ = self.sends_left.remove_label_values(&[service]);
     }
 }
 
 impl Default for RollOutMetrics {
-    /// Counters that no registry tells of.
+    /// Counters that are not registered.
     fn default() -> Self {
         const CONSTANT: &str = "constant options are valid";
         let sends = Opts::new(
--- a/crates/tansylead-gateway/src/roll_out/mod.rs
+++ b/crates/tansylead-gateway/src/roll_out/mod.rs
@@ -1,12 +1,12 @@
-//! Roll-outs in this daemon: which leafs a request may use by their version, what is seen of both sides,
-//! and the judges that conclude.
+//! Roll-outs in this daemon: which leafs a request may use by their version, the evidence on the old and the new
+//! version, and the judges that decide how a roll-out ends.
 
 mod context;
 mod evaluation_log;
 mod evidence_log;
 mod judge;
 mod judge_metrics;
-mod judge_seats;
+mod judge_selection;
 mod link;
 mod message;
 mod metrics;
@@ -26,8 +26,8 @@
 
 pub use context::RollOutContext;
 pub use judge::{Judge, JudgeContext, ReportRefusal, TrialEvaluation};
-pub use judge_metrics::{JudgeMetrics, MessageFate, MessageKind};
-pub use judge_seats::{FollowedGrant, SILENCE_LIMIT};
+pub use judge_metrics::{JudgeMetrics, MessageKind, MessageOutcome};
+pub use judge_selection::{FollowedGrant, SILENCE_LIMIT};
 pub use link::RollOutLink;
 pub use message::{GrantMessage, RollOutMessage};
 pub use metrics::RollOutMetrics;
--- a/crates/tansylead-gateway/src/roll_out/pause_guard.rs
+++ b/crates/tansylead-gateway/src/roll_out/pause_guard.rs
@@ -1,7 +1,7 @@
-//! Notices that this process did not run for a while.
+//! Detects that this process did not run for a while.
 //!
-//! What waited in the socket meanwhile looks as if it had just come, although it is old: a judge that was frozen
-//! would take daemons that follow another one by now for its own.
+//! Messages that were in the socket meanwhile look new although they are old: a judge that was frozen would believe
+//! that daemons still follow it which follow another one by now.
 
 use std::time::Duration;
 use tansylead_types::Moment;
@@ -9,13 +9,14 @@
 /// A longer time between two checks, which come every few tens of milliseconds, is a pause: as long as a
 /// silent judge is still followed.
 const PAUSE_LIMIT: Duration = Duration::from_millis(600);
-/// Watches the times of the checks.
+
+/// Detects pauses from the times of the checks.
 #[derive(Debug)]
 pub struct PauseGuard {
     /// A longer time between two checks is a pause.
     limit: Duration,
     checked_at: Option<Moment>,
-    distrusts_until: Option<Moment>,
+    discards_until: Option<Moment>,
 }
 
 impl Default for PauseGuard {
@@ -25,20 +26,20 @@
 }
 
 impl PauseGuard {
-    /// Messages are passed over for this long after a pause: a few rounds of reading a full socket, and as long
+    /// Messages are discarded for this long after a pause: a few rounds of reading a full socket, and as long
     /// as a busy reporter takes to report again.
-    pub const DISTRUST: Duration = Duration::from_millis(250);
+    pub const DISCARD_PERIOD: Duration = Duration::from_millis(250);
 
-    /// A guard that takes a longer time between two checks for a pause.
+    /// A guard for which a longer time than `limit` between two checks is a pause.
     pub fn new(limit: Duration) -> Self {
         Self {
             limit,
             checked_at: None,
-            distrusts_until: None,
+            discards_until: None,
         }
     }
 
-    /// Whether the next check will find a pause: whoever acts before it must not rely on what comes.
+    /// Whether the next check will find a pause: messages that are read before it may be old.
     pub fn is_overdue(&self, now: Moment) -> bool {
         self.checked_at.is_some_and(|at| now.since(at) > self.limit)
     }
@@ -50,17 +51,17 @@
         if gap <= self.limit {
             return None;
         }
-        self.distrusts_until = Some(now + Self::DISTRUST);
+        self.discards_until = Some(now + Self::DISCARD_PERIOD);
         Some(gap)
     }
 
-    /// Notes that no checks will come until there is something to do.
-    pub fn rest(&mut self) {
+    /// Suspends the guard: the time until the next check is no pause.
+    pub fn suspend(&mut self) {
         self.checked_at = None;
     }
 
-    /// Whether messages that come now may have waited during a pause.
-    pub fn distrusts(&self, now: Moment) -> bool {
-        self.distrusts_until.is_some_and(|until| now < until)
+    /// Whether messages that come now may be from before the end of a pause, and are to be discarded.
+    pub fn is_discarding(&self, now: Moment) -> bool {
+        self.discards_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/tansylead-gateway/src/roll_out/ranked_judges.rs
+++ b/crates/tansylead-gateway/src/roll_out/ranked_judges.rs
@@ -1,22 +1,22 @@
-//! The judges of each service as the members rank them, kept until the members change.
+//! Cache of the ranked judges of each service, valid until the members change.
 
 use crate::cluster::ClusterView;
 use std::collections::HashMap;
 use std::rc::Rc;
 use tansylead_types::{NodeId, ServiceName};
 
-/// Judges of the services that are asked for.
+/// Ranked judges of the services that were looked up.
 #[derive(Debug)]
 pub struct RankedJudges {
     view: Rc<ClusterView>,
-    /// Which members the rest was computed from.
+    /// Version of the members that the other fields were computed from.
     members_version: Option<u64>,
     members: Rc<[NodeId]>,
     judges: HashMap<ServiceName, Rc<[NodeId]>>,
 }
 
 impl RankedJudges {
-    /// Nothing asked for yet.
+    /// An empty cache.
     pub fn new(view: Rc<ClusterView>) -> Self {
         Self {
             view,
@@ -47,7 +47,7 @@
         judges
     }
 
-    /// Place of a daemon among the judges of a service.
+    /// Rank of a daemon among the judges of a service, 0 is the best; `None` if it is no judge.
     pub fn rank(&mut self, service: &ServiceName, node: NodeId) -> Option<usize> {
         let judges = self.judges(service);
         judges.iter().position(|judge| *judge == node)
--- a/crates/tansylead-gateway/src/roll_out/reporter.rs
+++ b/crates/tansylead-gateway/src/roll_out/reporter.rs
@@ -1,38 +1,38 @@
-//! What one daemon reports of one roll-out to its judges, when, and what it makes of their answers.
+//! Decides when and what one daemon reports of one roll-out to its judges, and which of their answers count.
 //!
-//! Invariants: the sequence rises with each report; an answer is heeded only if it answers a report that was
-//! sent lately, so that answers which waited in a socket while this process was frozen do nothing.
+//! Invariants: the sequence rises with each report; an answer is accepted only if it answers a recent report, so
+//! that answers which were in a socket while this process was frozen do nothing.
 
-use super::judge_seats::{FollowedGrant, JudgeSeats, SILENCE_LIMIT};
+use super::judge_selection::{FollowedGrant, JudgeSelection, SILENCE_LIMIT};
 use super::message::GrantMessage;
 use super::report_pace::{QUIET_PERIOD, report_period};
 use std::collections::VecDeque;
 use tansylead_route::{OrderId, RollOut, RollOutEvidence, RollOutReport, Stage};
 use tansylead_types::{Moment, NodeId, ServiceName};
 
-/// What became of an answer.
+/// The outcome of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEnd {
-    /// It was taken in.
-    Heeded,
-    /// It answers no report that was sent lately.
+    /// It was accepted.
+    Accepted,
+    /// It answers no recent report.
     Late,
-    /// A newer one of the same judge came before, or its sender is no judge here.
+    /// A newer one of the same judge came before, or its sender is no judge of the service.
     Superseded,
 }
 
-/// What is known of the other daemons when a report may be due.
+/// The other daemons, as far as reports need them.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet<'a> {
     /// Judges of the service, best first.
     pub judges: &'a [NodeId],
-    /// Daemons that run.
+    /// Number of running daemons, this one included.
     pub daemons: usize,
-    /// This daemon's run, as in `InstanceId`.
+    /// This daemon's boot, as in `InstanceId`.
     pub boot: u64,
 }
 
-/// What was told last.
+/// The last report that was sent.
 #[derive(Debug)]
 struct LastReport {
     sent: Moment,
@@ -50,10 +50,10 @@
     known_since: Moment,
     boot: u64,
     sequence: u64,
-    seats: JudgeSeats,
+    selection: JudgeSelection,
     stage: Option<Stage>,
     last: Option<LastReport>,
-    /// Reports that were sent lately, by number.
+    /// Recent reports by sequence, with the time at which they were sent.
     sent: VecDeque<(u64, Moment)>,
 }
 
@@ -67,7 +67,7 @@
             known_since: now,
             boot: 0,
             sequence: 0,
-            seats: JudgeSeats::default(),
+            selection: JudgeSelection::default(),
             stage: None,
             last: None,
             sent: VecDeque::new(),
@@ -81,19 +81,19 @@
 
     /// The judge that is followed.
     pub fn followed(&self) -> Option<NodeId> {
-        self.seats.followed()
+        self.selection.followed()
     }
 
-    /// The stage that was granted last. The first conclusion stays, as in what requests do: other judges take
-    /// it over from the reports.
+    /// The stage that was granted last. It no longer changes after the first conclusion, as for requests: other judges
+    /// take the conclusion over from the reports.
     pub fn stage(&self) -> Option<Stage> {
         self.stage
     }
 
-    /// Chooses the judge to follow. Returns whether it is another one than before.
+    /// Chooses the judge to follow. Returns whether it has changed.
     pub fn choose_judge(&mut self, now: Moment, judges: &[NodeId]) -> bool {
-        self.seats.set_judges(judges);
-        self.seats.choose(now)
+        self.selection.set_judges(judges);
+        self.selection.choose(now)
     }
 
     /// A report to all judges, if one is due.
@@ -103,13 +103,13 @@
         evidence: &RollOutEvidence,
         fleet: Fleet<'_>,
     ) -> Option<RollOutReport> {
-        self.seats.set_judges(fleet.judges);
+        self.selection.set_judges(fleet.judges);
         if fleet.judges.is_empty() || !self.is_due(now, evidence, fleet.daemons) {
             return None;
         }
         self.boot = fleet.boot;
         self.sequence += 1;
-        self.note_sent(now);
+        self.record_sent(now);
         self.last = Some(LastReport {
             sent: now,
             evidence: evidence.clone(),
@@ -130,14 +130,14 @@
         })
     }
 
-    /// Takes in the answer of a judge.
+    /// Processes the answer of a judge.
     pub fn on_answer(&mut self, now: Moment, message: &GrantMessage) -> AnswerEnd {
-        let is_own = message.boot == self.boot && message.order == self.order;
-        if !is_own || !self.was_sent_lately(now, message.sequence) {
+        let is_addressed_here = message.boot == self.boot && message.order == self.order;
+        if !is_addressed_here || !self.is_recent(now, message.sequence) {
             return AnswerEnd::Late;
         }
-        if self.seats.on_answer(now, message) {
-            AnswerEnd::Heeded
+        if self.selection.on_answer(now, message) {
+            AnswerEnd::Accepted
         } else {
             AnswerEnd::Superseded
         }
@@ -145,7 +145,7 @@
 
     /// The grant of the judge that is followed, if it is new.
     pub fn take_grant(&mut self, now: Moment) -> Option<FollowedGrant> {
-        let followed = self.seats.take_grant(now)?;
+        let followed = self.selection.take_grant(now)?;
         let has_concluded = self.stage.is_some_and(|stage| stage >= Stage::Commit);
         if !has_concluded {
             self.stage = Some(followed.grant.stage);
@@ -153,9 +153,9 @@
         Some(followed)
     }
 
-    /// Whether a report is recent enough for its answer to be heeded. After the last one a judge may grant
-    /// something unasked until the next is due.
-    fn was_sent_lately(&self, now: Moment, number: u64) -> bool {
+    /// Whether a report is recent enough for its answer to be accepted. After the last report a judge may send
+    /// unsolicited grants until the next is due.
+    fn is_recent(&self, now: Moment, number: u64) -> bool {
         let until_next = QUIET_PERIOD + SILENCE_LIMIT;
         self.sent.iter().any(|(sequence, sent)| {
             let is_last = *sequence == self.sequence;
@@ -164,34 +164,34 @@
         })
     }
 
-    fn note_sent(&mut self, now: Moment) {
+    fn record_sent(&mut self, now: Moment) {
         let is_old = |sent: &(u64, Moment)| now.since(sent.1) > SILENCE_LIMIT;
         while self.sent.front().is_some_and(is_old) {
             self.sent.pop_front();
         }
         self.sent.push_back((self.sequence, now));
-        self.seats.on_reported(now);
+        self.selection.on_reported(now);
     }
 
     fn is_due(&self, now: Moment, evidence: &RollOutEvidence, daemons: usize) -> bool {
         let Some(last) = &self.last else {
             return true;
         };
-        let is_clear = is_clear_of_old(self.stage, evidence);
-        let was_told = last.stage == self.stage && is_clear_of_old(last.stage, &last.evidence);
-        if is_clear && !was_told {
+        let has_drained = has_drained_old(self.stage, evidence);
+        let was_reported = last.stage == self.stage && has_drained_old(last.stage, &last.evidence);
+        if has_drained && !was_reported {
             return true;
         }
-        let has_news = last.evidence != *evidence
+        let has_changes = last.evidence != *evidence
             || last.stage != self.stage
             || last.follows != self.followed()
-            || self.seats.first_owes_answer();
-        now.since(last.sent) >= report_period(has_news, daemons)
+            || self.selection.is_first_unanswered();
+        now.since(last.sent) >= report_period(has_changes, daemons)
     }
 }
 
-/// Whether the last attempt at old leafs has ended in the stage that waits for it.
-fn is_clear_of_old(stage: Option<Stage>, evidence: &RollOutEvidence) -> bool {
+/// Whether the last attempt at old leafs has ended, in a stage that waits for it.
+fn has_drained_old(stage: Option<Stage>, evidence: &RollOutEvidence) -> bool {
     let is_moving = matches!(stage, Some(Stage::Shift | Stage::Commit));
     is_moving && evidence.running_on_old == 0
 }
--- a/crates/tansylead-gateway/src/roll_out/reporters.rs
+++ b/crates/tansylead-gateway/src/roll_out/reporters.rs
@@ -1,6 +1,6 @@
-//! The reporters of this daemon: one for each order that stands and has not ended.
+//! The reporters of this daemon: one for each current order that has not ended.
 
-use super::judge_metrics::{JudgeMetrics, MessageFate, MessageKind};
+use super::judge_metrics::{JudgeMetrics, MessageKind, MessageOutcome};
 use super::message::GrantMessage;
 use super::ranked_judges::RankedJudges;
 use super::reporter::{AnswerEnd, Fleet, Reporter};
@@ -21,7 +21,7 @@
 }
 
 impl Reporters {
-    /// No order is known yet.
+    /// No reporters, as no order is known yet.
     pub fn new(gateway: Rc<Gateway>, metrics: Rc<JudgeMetrics>) -> Self {
         let node = NodeId(gateway.settings.peer_address);
         Self {
@@ -32,15 +32,15 @@
         }
     }
 
-    /// Takes in the orders as they are known now.
+    /// Applies the current orders: reporters of other orders are removed, and missing ones are added.
     pub fn set_orders(&mut self, now: Moment, orders: &RollOuts) {
         let node = self.node;
-        let runs = |service: &ServiceName| {
+        let running = |service: &ServiceName| {
             let order = orders.get(service);
             order.filter(|order| !order.state.is_final())
         };
         self.reporters.retain(|service, reporter| {
-            runs(service).is_some_and(|order| order.order == reporter.order())
+            running(service).is_some_and(|order| order.order == reporter.order())
         });
         for order in orders
             .orders
@@ -57,7 +57,7 @@
         self.reporters.is_empty()
     }
 
-    /// The reports that are due now. Hands on what was granted.
+    /// The reports that are due now. Also applies new grants.
     pub fn due_reports(
         &mut self,
         now: Moment,
@@ -80,23 +80,23 @@
         reports
     }
 
-    /// Takes in the answer of a judge.
+    /// Processes the answer of a judge.
     pub fn on_answer(&mut self, now: Moment, message: &GrantMessage, ranked: &mut RankedJudges) {
         let Some(reporter) = self.reporters.get_mut(&message.service) else {
-            let fate = MessageFate::UnknownOrder;
-            return self.metrics.on_message(MessageKind::Grant, fate);
+            let outcome = MessageOutcome::UnknownOrder;
+            return self.metrics.on_message(MessageKind::Grant, outcome);
         };
-        let fate = match reporter.on_answer(now, message) {
-            AnswerEnd::Heeded => MessageFate::Received,
-            AnswerEnd::Late => MessageFate::Late,
-            AnswerEnd::Superseded => MessageFate::Superseded,
+        let outcome = match reporter.on_answer(now, message) {
+            AnswerEnd::Accepted => MessageOutcome::Received,
+            AnswerEnd::Late => MessageOutcome::Late,
+            AnswerEnd::Superseded => MessageOutcome::Superseded,
         };
-        self.metrics.on_message(MessageKind::Grant, fate);
+        self.metrics.on_message(MessageKind::Grant, outcome);
         let judges = ranked.judges(&message.service);
         self.follow(now, &message.service, &judges);
     }
 
-    /// Chooses the judge to follow, and hands its grant on if it is new.
+    /// Chooses the judge to follow, and applies its grant if it is new.
     fn follow(&mut self, now: Moment, service: &ServiceName, judges: &[NodeId]) {
         let Some(reporter) = self.reporters.get_mut(service) else {
             return;
--- a/crates/tansylead-gateway/src/roll_out/roll_out_task.rs
+++ b/crates/tansylead-gateway/src/roll_out/roll_out_task.rs
@@ -1,9 +1,9 @@
-//! The task of one daemon for roll-outs: it reports to the judges, judges the trials that it is ranked for, and
-//! writes conclusions to the source. It does nothing while no roll-out runs.
+//! The roll-out task of one daemon: it reports to the judges, judges the trials for which it is ranked, and writes
+//! conclusions to the source. It does nothing while no roll-out runs.
 
 use super::evaluation_log::log_counts;
 use super::judge::{Judge, JudgeContext, ReportRefusal, TrialEvaluation};
-use super::judge_metrics::{JudgeMetrics, MessageFate, MessageKind, conclusion_label};
+use super::judge_metrics::{JudgeMetrics, MessageKind, MessageOutcome, conclusion_label};
 use super::link::RollOutLink;
 use super::message::{GrantMessage, RollOutMessage};
 use super::pause_guard::PauseGuard;
@@ -24,7 +24,7 @@
 use tansylead_types::{Moment, NodeId, ServiceName};
 use tokio::sync::mpsc;
 
-/// Period at which it is checked whether reports are due: a part of the shortest period between reports.
+/// Period of the check whether reports are due: a part of the shortest period between reports.
 const TICK: Duration = Duration::from_millis(50);
 /// Ticks from one evaluation of the trials to the next: four a second, more while a completion is held back.
 const TICKS_PER_EVALUATION: u32 = 5;
@@ -44,12 +44,12 @@
     check: SourceCheck<S>,
     writes: StateWrites<S>,
     ended_writes: mpsc::UnboundedReceiver<EndedWrite>,
-    pauses: PauseGuard,
+    pause_guard: PauseGuard,
     ticks: u32,
 }
 
 impl<S: Source> RollOutTask<S> {
-    /// A task that knows of no order yet.
+    /// A task without orders.
     pub fn new(
         gateway: Rc<Gateway>,
         view: Rc<ClusterView>,
@@ -69,7 +69,7 @@
             writes: StateWrites::new(Rc::clone(&calls), ended),
             calls,
             ended_writes,
-            pauses: PauseGuard::default(),
+            pause_guard: PauseGuard::default(),
             ticks: 0,
             gateway,
             view,
@@ -83,16 +83,16 @@
         let mut changes = self.gateway.changes();
         let link = Rc::clone(&self.link);
         let gateway = Rc::clone(&self.gateway);
-        self.take_in_orders();
+        self.apply_orders();
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let is_active = !self.reporters.is_empty();
             if !is_active {
-                self.pauses.rest();
+                self.pause_guard.suspend();
             }
             tokio::select! {
-                _ = changes.changed() => self.take_in_orders(),
+                _ = changes.changed() => self.apply_orders(),
                 () = link.received() => self.receive_all(),
                 Some(ended) = self.ended_writes.recv() => self.on_ended_write(ended),
                 () = gateway.roll_out_context().changed().notified(), if is_active => self.report(Clock.now()),
@@ -101,7 +101,7 @@
         }
     }
 
-    fn take_in_orders(&mut self) {
+    fn apply_orders(&mut self) {
         let Some(orders) = self.gateway.current_roll_outs() else {
             return;
         };
@@ -115,10 +115,10 @@
 
     fn tick(&mut self) {
         let now = Clock.now();
-        self.notice_pause(now);
+        self.check_for_pause(now);
         self.report(now);
         self.ticks += 1;
-        if self.ticks >= TICKS_PER_EVALUATION || self.judge.holds_back() {
+        if self.ticks >= TICKS_PER_EVALUATION || self.judge.is_completion_held_back() {
             self.ticks = 0;
             self.evaluate_trials(now);
         }
@@ -135,8 +135,8 @@
         }
     }
 
-    fn notice_pause(&mut self, now: Moment) {
-        if let Some(pause) = self.pauses.check(now) {
+    fn check_for_pause(&mut self, now: Moment) {
+        if let Some(pause) = self.pause_guard.check(now) {
             let millis = pause.as_millis() as u64;
             log::warn!(paused_ms = millis; "did not run; what came meanwhile about roll-outs is passed over");
         }
@@ -145,7 +145,7 @@
     fn send_report(&mut self, now: Moment, report: RollOutReport) {
         for judge in self.ranked.judges(&report.service).iter() {
             self.metrics
-                .on_message(MessageKind::Report, MessageFate::Sent);
+                .on_message(MessageKind::Report, MessageOutcome::Sent);
             if *judge == self.node {
                 self.on_report(now, &report);
             } else {
@@ -158,40 +158,40 @@
     fn receive_all(&mut self) {
         let now = Clock.now();
         if !self.reporters.is_empty() {
-            self.notice_pause(now);
+            self.check_for_pause(now);
         }
         for message in self.link.take_received() {
-            let is_distrusted = self.pauses.distrusts(now);
+            let is_discarding = self.pause_guard.is_discarding(now);
             match message {
-                RollOutMessage::Report(_) if is_distrusted => self
+                RollOutMessage::Report(_) if is_discarding => self
                     .metrics
-                    .on_message(MessageKind::Report, MessageFate::AfterPause),
-                RollOutMessage::Grant(_) if is_distrusted => self
+                    .on_message(MessageKind::Report, MessageOutcome::AfterPause),
+                RollOutMessage::Grant(_) if is_discarding => self
                     .metrics
-                    .on_message(MessageKind::Grant, MessageFate::AfterPause),
+                    .on_message(MessageKind::Grant, MessageOutcome::AfterPause),
                 RollOutMessage::Report(report) => self.on_report(now, &report),
                 RollOutMessage::Grant(grant) => self.on_grant(now, &grant),
             }
         }
     }
 
-    /// Judges a report, and answers it.
+    /// Passes a report to the judge, and sends its answer.
     fn on_report(&mut self, now: Moment, report: &RollOutReport) {
         let rank = self.ranked.rank(&report.service, self.node);
-        let fate = match self.judge.on_report(now, report, rank) {
+        let outcome = match self.judge.on_report(now, report, rank) {
             Ok(grant) => {
                 self.answer(now, report.reporter, grant);
-                MessageFate::Received
+                MessageOutcome::Received
             }
-            Err(ReportRefusal::NotJudge) => MessageFate::NotJudge,
-            Err(ReportRefusal::UnknownOrder) => MessageFate::UnknownOrder,
+            Err(ReportRefusal::NotJudge) => MessageOutcome::NotJudge,
+            Err(ReportRefusal::UnknownOrder) => MessageOutcome::UnknownOrder,
         };
-        self.metrics.on_message(MessageKind::Report, fate);
+        self.metrics.on_message(MessageKind::Report, outcome);
     }
 
     fn answer(&mut self, now: Moment, reporter: NodeId, grant: GrantMessage) {
         self.metrics
-            .on_message(MessageKind::Grant, MessageFate::Sent);
+            .on_message(MessageKind::Grant, MessageOutcome::Sent);
         if reporter == self.node {
             self.on_grant(now, &grant);
         } else {
@@ -226,7 +226,7 @@
         self.metrics.set_trials(self.judge.stages());
     }
 
-    /// Writes again how orders ended, where the source has lost that.
+    /// Writes the outcomes of orders again that the source has lost.
     fn write_lost_outcomes(&mut self) {
         for (order, state) in self.gateway.lost_outcomes() {
             let is_first = self.ranked.rank(&order.service, self.node) == Some(0);
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Completes orders for versions that their services run alone already.
+    /// Completes orders for versions that are already the only ones of their services.
     fn complete_settled(&mut self) {
         let Some(orders) = self.gateway.current_roll_outs() else {
             return;
@@ -269,7 +269,7 @@
                 .start(&evaluation.roll_out, RollOutState::Running);
         }
         if evaluation.needs_source {
-            self.check.ask(now, &evaluation.roll_out);
+            self.check.read(now, &evaluation.roll_out);
         }
     }
 
--- a/crates/tansylead-gateway/src/roll_out/running_sends.rs
+++ b/crates/tansylead-gateway/src/roll_out/running_sends.rs
@@ -1,30 +1,29 @@
-//! How many attempts run at the leafs of each version of a service.
+//! Counts of running attempts by version of a service.
 
 use std::cell::RefCell;
 use tansylead_types::SoftwareVersion;
 
-/// Attempts that run, by version. One short record for each version that the service had in this
-/// daemon's life.
+/// Running attempts by version. Each version that was sent to keeps one short record until this daemon ends.
 #[derive(Debug, Default)]
 pub(super) struct RunningSends {
-    versions: RefCell<Vec<RunningAt>>,
+    versions: RefCell<Vec<VersionCount>>,
 }
 
 #[derive(Debug)]
-struct RunningAt {
+struct VersionCount {
     version: Option<SoftwareVersion>,
     attempts: u32,
 }
 
 impl RunningSends {
-    /// Counts an attempt. Returns the place of its version.
+    /// Counts an attempt. Returns the index of its version.
     pub(super) fn begin(&self, version: Option<&SoftwareVersion>) -> usize {
         let mut versions = self.versions.borrow_mut();
         let index = versions
             .iter()
             .position(|running| running.version.as_ref() == version);
         let index = index.unwrap_or_else(|| {
-            versions.push(RunningAt {
+            versions.push(VersionCount {
                 version: version.cloned(),
                 attempts: 0,
             });
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Attempts at leafs of other versions than `target`, and at leafs of it.
+    /// Running attempts at leafs of other versions than `target`, and at leafs of `target`.
     pub(super) fn by_side(&self, target: &SoftwareVersion) -> (u32, u32) {
         let versions = self.versions.borrow();
         versions.iter().fold((0, 0), |(old, new), running| {
--- a/crates/tansylead-gateway/src/roll_out/service_versions.rs
+++ b/crates/tansylead-gateway/src/roll_out/service_versions.rs
@@ -1,5 +1,5 @@
-//! What this daemon knows of the versions of one service: the order that stands, the grant of the judge it
-//! follows, and what it has seen of both sides.
+//! State of the versions of one service in this daemon: the current order, the grant of the judge that it follows,
+//! and its evidence on the old and the new version.
 
 use super::context::RollOutContext;
 use super::evidence_log::EvidenceLog;
@@ -18,16 +18,16 @@
 pub struct ServiceVersions {
     context: Rc<RollOutContext>,
     gate: RefCell<VersionGate>,
-    /// Whether an order has not ended: most services have none, and do nothing more then.
+    /// Whether there is an order that has not ended. Most services have none, and skip everything else then.
     is_under_trial: Cell<bool>,
     evidence: RefCell<Option<Box<EvidenceLog>>>,
     running: RunningSends,
-    /// Attempts that will be sent to the version under trial if they still may be then.
+    /// Attempts that wait for a connection to a leaf of the version under trial.
     waiting: Cell<u32>,
 }
 
 impl ServiceVersions {
-    /// Versions of a service of which nothing is known.
+    /// State of a service without known versions or orders.
     pub fn new(context: Rc<RollOutContext>) -> Self {
         Self {
             context,
@@ -35,39 +35,41 @@
         }
     }
 
-    /// Takes in the order for the service, none if there is none, as it was at a revision of the source.
+    /// Applies the order for the service, `None` if there is none, as of the revision `known_up_to` of the source.
     pub fn apply(&self, now: Moment, order: Option<&RollOut>, known_up_to: Revision) {
         let mut gate = self.gate.borrow_mut();
         let ended = gate.trial().map(|trial| trial.service.clone());
-        let is_another = gate.apply(order, known_up_to);
+        let is_other_order = gate.apply(order, known_up_to);
         let trial = gate.trial();
         self.is_under_trial.set(trial.is_some());
         let mut evidence = self.evidence.borrow_mut();
         match trial {
             None => *evidence = None,
-            Some(trial) if is_another => *evidence = Some(Box::new(EvidenceLog::new(trial.order))),
+            Some(trial) if is_other_order => {
+                *evidence = Some(Box::new(EvidenceLog::new(trial.order)))
+            }
             Some(_) => {}
         }
         match (ended, trial) {
-            (Some(service), None) => self.context.metrics.forget(service.as_str()),
-            (_, Some(_)) if is_another => self.tell_sends_left(&gate, now),
+            (Some(service), None) => self.context.metrics.remove_service(service.as_str()),
+            (_, Some(_)) if is_other_order => self.update_sends_left(&gate, now),
             _ => return,
         }
         self.context.notify();
     }
 
-    /// Takes in the grant of the judge that is followed now.
+    /// Applies a grant of the judge that is followed.
     pub fn on_grant(&self, now: Moment, order: OrderId, judge: NodeId, grant: Grant) {
         let mut gate = self.gate.borrow_mut();
         let changed = gate.on_grant(now, order, grant);
-        self.tell_sends_left(&gate, now);
+        self.update_sends_left(&gate, now);
         if let (Some(stage), Some(trial)) = (changed, gate.trial()) {
             log::info!(order = trial.order.0, service = trial.service.as_str(), target = trial.target.as_str(), stage = stage.label(), judge:% = judge; "roll-out stage");
             self.context.notify();
         }
     }
 
-    /// Notes what the entry of a leaf shows.
+    /// Records the version in the entry of a leaf.
     pub fn on_entry(&self, entry: &LeafEntry) {
         if !self.context.follows_roll_outs() {
             return;
@@ -84,13 +86,17 @@
         if !self.context.follows_roll_outs() {
             return VersionUse::Unrestricted;
         }
-        let is_word_old = self.context.is_word_old(now);
+        let are_orders_stale = self.context.are_orders_stale(now);
         let gate = self.gate.borrow();
-        gate.use_of(now, entry.version.as_ref(), entry.changed_at, is_word_old)
+        gate.use_of(
+            now,
+            entry.version.as_ref(),
+            entry.changed_at,
+            are_orders_stale,
+        )
     }
 
-    /// The stage of the trial that a leaf is the target of; none if it is of none. `Trial` before the
-    /// first grant.
+    /// The stage of the trial if the leaf runs the version under trial, else `None`. `Trial` before the first grant.
     pub fn trial_stage(&self, entry: &LeafEntry) -> Option<Stage> {
         if !self.is_under_trial.get() {
             return None;
@@ -100,35 +106,34 @@
         is_target.then(|| gate.stage().unwrap_or(Stage::Trial))
     }
 
-    /// The stage in which an attempt should go to the version under trial now, if it should: only first
-    /// attempts do in `Trial`, and only as far as the grant reaches beyond those that wait for a
-    /// connection already.
+    /// The current stage if an attempt should go to the version under trial now, else `None`. In `Trial` only first
+    /// attempts do; in all stages only while the grant exceeds the attempts that wait for a connection already.
     pub fn preferred_stage(&self, now: Moment, is_first: bool) -> Option<Stage> {
         if !self.is_under_trial.get() {
             return None;
         }
         let gate = self.gate.borrow();
         let stage = gate.stage()?;
-        let is_wanted = match stage {
+        let is_eligible = match stage {
             Stage::Trial => is_first,
             Stage::Shift => true,
             Stage::Commit | Stage::RollBack => false,
         };
-        let has_room = gate.sends_left(now) > u64::from(self.waiting.get());
-        (is_wanted && has_room).then_some(stage)
+        let has_allowance = gate.sends_left(now) > u64::from(self.waiting.get());
+        (is_eligible && has_allowance).then_some(stage)
     }
 
-    /// Notes that an attempt at a leaf of the version under trial waits to be sent.
+    /// Counts an attempt that waits for a connection to a leaf of the version under trial.
     pub(crate) fn on_waiting(&self) {
         self.waiting.set(self.waiting.get() + 1);
     }
 
-    /// Notes that an attempt that waited was sent, or has ended.
+    /// Counts an attempt that waited and was sent, or has ended.
     pub(crate) fn on_waited(&self) {
         self.waiting.set(self.waiting.get().saturating_sub(1));
     }
 
-    /// Notes that a leaf may not be used any more when a request was about to be handed over.
+    /// Counts an attempt for the version under trial that was about to be sent when its leaf may no longer be used.
     pub(crate) fn on_withheld(&self, now: Moment, entry: &LeafEntry) {
         let is_withheld = matches!(
             self.use_of(now, entry),
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Counts a request that is handed to a leaf of this version now; none if versions mean nothing.
+    /// Counts an attempt that is sent to a leaf of this version now; `None` if roll-outs are not followed.
     pub(crate) fn begin_send(
         self: &Rc<Self>,
         now: Moment,
@@ -174,7 +179,7 @@
         if let Some(stage) = stage {
             evidence.on_new_send();
             self.context.metrics.on_send(stage);
-            self.tell_sends_left(&gate, now);
+            self.update_sends_left(&gate, now);
         }
         Some((evidence.order(), stage.is_some()))
     }
@@ -190,15 +195,15 @@
 
     /// Counts the end of an attempt.
     pub(super) fn on_send_end(&self, version: usize) {
-        let before = self.left_on_old();
+        let before = self.running_on_old();
         self.running.end(version);
-        if before.is_some_and(|before| before > 0) && self.left_on_old() == Some(0) {
+        if before.is_some_and(|before| before > 0) && self.running_on_old() == Some(0) {
             self.context.notify();
         }
     }
 
-    /// Attempts that run on old leafs when all requests move to the target; none if they do not.
-    fn left_on_old(&self) -> Option<u32> {
+    /// Attempts that run on old leafs, in the stages in which all requests move to the target; `None` in the others.
+    fn running_on_old(&self) -> Option<u32> {
         if !self.is_under_trial.get() {
             return None;
         }
@@ -208,7 +213,7 @@
         is_moving.then(|| self.running.by_side(&trial.target).0)
     }
 
-    /// The order that is under trial, with what this daemon has seen since it knows of it.
+    /// The order under trial, with this daemon's evidence since it learned of the order.
     pub fn evidence(&self) -> Option<(RollOut, RollOutEvidence)> {
         let gate = self.gate.borrow();
         let trial = gate.trial()?;
@@ -220,17 +225,17 @@
         Some((trial.clone(), evidence))
     }
 
-    /// Whether the service ran the target version alone when its order came, so that there is nothing to try.
+    /// Whether the service ran only the target version when its order came, so that no trial is needed.
     pub fn is_settled(&self) -> bool {
         self.gate.borrow().is_settled()
     }
 
-    /// Wakes whoever reports on any service; see [`RollOutContext::changed`].
+    /// Wakes the reporter of any service; see [`RollOutContext::changed`].
     pub fn changed(&self) -> &Notify {
         self.context.changed()
     }
 
-    fn tell_sends_left(&self, gate: &VersionGate, now: Moment) {
+    fn update_sends_left(&self, gate: &VersionGate, now: Moment) {
         if let Some(trial) = gate.trial() {
             let left = gate.sends_left(now);
             self.context
--- a/crates/tansylead-gateway/src/roll_out/source_calls.rs
+++ b/crates/tansylead-gateway/src/roll_out/source_calls.rs
@@ -1,5 +1,5 @@
-//! The calls to the source that a judge makes: writing a state until it stands, reading one order, and bringing
-//! what stands into force here.
+//! The calls to the source that a judge makes: writing a state until it is confirmed, reading one order, and reading
+//! and applying all orders.
 
 use super::source_contact::SourceContact;
 use crate::clock::Clock;
@@ -11,14 +11,14 @@
 use tansylead_route::{RollOut, RollOutState, StateWrite, StateWriteEnd, WriteStep};
 use tansylead_types::{ServiceName, StepError};
 
-/// A call without an answer is given up after this time: it is within the time for a shift.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
-/// First wait after a failure.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-/// Longest wait after a failure: a source that is back is noticed soon.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// Timeout of a call: less than the time for a shift.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Backoff after the first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest backoff after a failure, so that a source that is back is noticed soon.
+const MAXIMUM_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The source as a judge calls it.
+/// Calls of a judge to the source.
 #[derive(Debug)]
 pub struct SourceCalls<S> {
     gateway: Rc<Gateway>,
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Whether the source has answered one of these calls lately.
+    /// Whether the source has answered one of these calls recently.
     pub fn is_fresh(&self) -> bool {
         self.contact.is_fresh(Clock.now())
     }
 
-    /// Writes a state until it stands, or the order has ended otherwise, however long that takes.
-    pub async fn write_until_it_stands(
+    /// Repeats a write until the state is confirmed or the order has ended otherwise, however long that takes.
+    pub async fn write_until_confirmed(
         &self,
         roll_out: RollOut,
         wanted: RollOutState,
@@ -70,25 +70,25 @@
         }
     }
 
-    /// Reads an order as it stands now.
+    /// Reads the current state of an order.
     pub async fn read(&self, service: &ServiceName) -> Result<Option<RollOut>, SourceError> {
         let call = self.source.read_roll_out(service);
-        let result = self.answered("read roll-out", service, call).await;
+        let result = self.call("read roll-out", service, call).await;
         if let Err(error) = &result {
             log::warn!(service = service.as_str(), error:% = error; "source does not tell of the roll-out");
         }
         result
     }
 
-    /// Reads all orders and applies them here, until that has succeeded.
+    /// Reads all orders and applies them here; repeats the read until it succeeds.
     ///
     /// A single order that is newer than the others known here cannot be applied alone: the orders are known
-    /// up to one revision, below which leafs are judged by them.
-    pub async fn bring_into_force(&self) {
-        let mut wait = FIRST_WAIT;
+    /// up to one revision, and decide on the leafs of older revisions.
+    pub async fn read_and_apply_all(&self) {
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let call = self.source.read(Topic::RollOuts, Freshness::Current);
-            match self.answered("read roll-outs", "all", call).await {
+            match self.call("read roll-outs", "all", call).await {
                 Ok(SourceUpdate {
                     content: SourceContent::RollOuts(Some(roll_outs)),
                     ..
@@ -96,7 +96,7 @@
                 Ok(_) => return,
                 Err(error) => log::warn!(error:% = error; "roll-outs could not be read"),
             }
-            pause(&mut wait).await;
+            back_off(&mut backoff).await;
         }
     }
 
@@ -106,9 +106,7 @@
         wanted: RollOutState,
     ) -> Result<WriteEnd, SourceError> {
         let call = self.source.write_roll_out_state(roll_out, wanted);
-        let result = self
-            .answered("write roll-out", &roll_out.service, call)
-            .await;
+        let result = self.call("write roll-out", &roll_out.service, call).await;
         self.gateway.metrics.on_roll_out_write(&result);
         let service = roll_out.service.as_str();
         let (state, under) = (wanted.label(), roll_out.changed_at.number);
@@ -127,13 +125,13 @@
         result
     }
 
-    async fn answered<T>(
+    async fn call<T>(
         &self,
         step: &'static str,
         what: impl std::fmt::Display,
         call: impl Future<Output = Result<T, SourceError>>,
     ) -> Result<T, SourceError> {
-        let result = tokio::time::timeout(CALL_LIMIT, call).await;
+        let result = tokio::time::timeout(CALL_TIMEOUT, call).await;
         let result = result.unwrap_or_else(|_| {
             let error = StepError::new(step, what, "no answer in time");
             Err(SourceError::Failed(error))
@@ -150,8 +148,8 @@
     }
 }
 
-/// Waits before a call is repeated; the next wait is longer.
-async fn pause(wait: &mut Duration) {
-    tokio::time::sleep(wait.mul_f64(rand::random_range(0.5..1.5))).await;
-    *wait = (*wait * 2).min(LONGEST_WAIT);
+/// Waits before a call is repeated, and doubles the next backoff.
+async fn back_off(backoff: &mut Duration) {
+    tokio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.5))).await;
+    *backoff = (*backoff * 2).min(MAXIMUM_BACKOFF);
 }
--- a/crates/tansylead-gateway/src/roll_out/source_check.rs
+++ b/crates/tansylead-gateway/src/roll_out/source_check.rs
@@ -1,7 +1,7 @@
-//! Asks the source for an order when its trial nears its end: whether the source answers decides whether
-//! all requests may move over, and the answer has the newest state.
+//! Reads an order from the source when its trial nears its end: only if the source answers may all requests move
+//! to the new version, and the answer has the newest state.
 //!
-//! Calls to the source are priced: at most one in a second, and one at a time.
+//! Calls to the source are charged for: at most one in a second, and one at a time.
 
 use super::source_calls::SourceCalls;
 use crate::source::Source;
@@ -12,66 +12,66 @@
 use tansylead_types::Moment;
 use tokio::task::spawn_local;
 
-/// Least time from one call to the next.
+/// Least time between the starts of two calls.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// What came of the calls.
+/// State of the calls, shared with the task that makes them.
 #[derive(Debug, Default)]
-struct Asked {
-    is_open: Cell<bool>,
+struct Reads {
+    is_in_flight: Cell<bool>,
     found: RefCell<Vec<RollOut>>,
 }
 
-/// The calls.
+/// The rate-limited reads.
 #[derive(Debug)]
 pub struct SourceCheck<S> {
     calls: Rc<SourceCalls<S>>,
-    asked_at: Option<Moment>,
-    asked: Rc<Asked>,
+    read_at: Option<Moment>,
+    reads: Rc<Reads>,
 }
 
 impl<S: Source> SourceCheck<S> {
-    /// Nothing asked yet.
+    /// No call was made yet.
     pub fn new(calls: Rc<SourceCalls<S>>) -> Self {
         Self {
             calls,
-            asked_at: None,
-            asked: Rc::default(),
+            read_at: None,
+            reads: Rc::default(),
         }
     }
 
-    /// Asks for an order, unless another call is open or was made within the last second.
-    pub fn ask(&mut self, now: Moment, roll_out: &RollOut) {
-        let is_recent = self.asked_at.is_some_and(|at| now.since(at) < PERIOD);
-        if is_recent || self.asked.is_open.replace(true) {
+    /// Reads an order, unless another call is in flight or was made within the last second.
+    pub fn read(&mut self, now: Moment, roll_out: &RollOut) {
+        let is_recent = self.read_at.is_some_and(|at| now.since(at) < PERIOD);
+        if is_recent || self.reads.is_in_flight.replace(true) {
             return;
         }
-        self.asked_at = Some(now);
-        let (calls, asked) = (Rc::clone(&self.calls), Rc::clone(&self.asked));
+        self.read_at = Some(now);
+        let (calls, reads) = (Rc::clone(&self.calls), Rc::clone(&self.reads));
         let roll_out = roll_out.clone();
         spawn_local(async move {
-            ask(&calls, &asked, &roll_out).await;
-            asked.is_open.set(false);
+            read(&calls, &reads, &roll_out).await;
+            reads.is_in_flight.set(false);
         });
     }
 
-    /// Takes what was found out: orders that stand as they were given, in whatever state.
+    /// Takes the orders that were read and have neither ended nor been replaced.
     pub fn take_found(&self) -> Vec<RollOut> {
-        self.asked.found.take()
+        self.reads.found.take()
     }
 }
 
-async fn ask<S: Source>(calls: &SourceCalls<S>, asked: &Asked, held: &RollOut) {
+async fn read<S: Source>(calls: &SourceCalls<S>, reads: &Reads, held: &RollOut) {
     let service = held.service.as_str();
     match calls.read(&held.service).await {
         Ok(Some(found)) if found.order == held.order && !found.state.is_final() => {
-            asked.found.borrow_mut().push(found);
+            reads.found.borrow_mut().push(found);
         }
         Ok(_) => {
             log::info!(service = service; "roll-out has ended or changed at the source");
-            calls.bring_into_force().await;
+            calls.read_and_apply_all().await;
         }
-        // It was told of, and is asked again.
+        // The failure was logged, and the read is repeated.
         Err(_) => {}
     }
 }
--- a/crates/tansylead-gateway/src/roll_out/state_writes.rs
+++ b/crates/tansylead-gateway/src/roll_out/state_writes.rs
@@ -1,4 +1,4 @@
-//! States of roll-outs that this daemon writes to the source: one task at most for each order.
+//! Writes of roll-out states by this daemon to the source: at most one task for each order.
 
 use super::source_calls::SourceCalls;
 use crate::source::Source;
@@ -9,12 +9,12 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, spawn_local};
 
-/// How the writing of a state ended.
+/// A write of a state that has ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndedWrite {
-    /// The order as it was when the writing began.
+    /// The order as it was when the write began.
     pub roll_out: RollOut,
-    /// What was to be written.
+    /// The state that was to be written.
     pub wanted: RollOutState,
     /// How it ended.
     pub end: StateWriteEnd,
@@ -27,7 +27,7 @@
     task: AbortHandle,
 }
 
-/// The writes of one daemon. What was started for an order is remembered until the order has ended here.
+/// The writes of one daemon. A started write is kept, so that it is not started again, until the order has ended here.
 #[derive(Debug)]
 pub struct StateWrites<S> {
     calls: Rc<SourceCalls<S>>,
@@ -36,7 +36,7 @@
 }
 
 impl<S: Source> StateWrites<S> {
-    /// No writes; ends are told through `ended`.
+    /// No writes; ended ones are sent to `ended`.
     pub fn new(calls: Rc<SourceCalls<S>>, ended: mpsc::UnboundedSender<EndedWrite>) -> Self {
         Self {
             calls,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Starts to write a state, unless a write for the order was started before. A conclusion replaces the
-    /// note of a beginning. Returns whether it was started.
+    /// Starts to write a state, unless a write for the order was started before. The write of a conclusion replaces
+    /// that of a beginning. Returns whether it was started.
     pub fn start(&mut self, roll_out: &RollOut, wanted: RollOutState) -> bool {
         if let Some(started) = self.started.get(&roll_out.service) {
             let is_conclusion = !started.wanted.is_final() && wanted.is_final();
@@ -67,16 +67,16 @@
         true
     }
 
-    /// Ends the writes for orders that have ended, are gone or were replaced.
+    /// Aborts the writes for orders that have ended, were removed or replaced.
     pub fn set_orders(&mut self, orders: &RollOuts) {
         self.started.retain(|service, started| {
             let order = orders.get(service);
-            let stands =
+            let is_current =
                 order.is_some_and(|order| order.order == started.order && !order.state.is_final());
-            if !stands {
+            if !is_current {
                 started.task.abort();
             }
-            stands
+            is_current
         });
     }
 }
@@ -87,7 +87,7 @@
     wanted: RollOutState,
     ended: mpsc::UnboundedSender<EndedWrite>,
 ) {
-    let end = calls.write_until_it_stands(roll_out.clone(), wanted).await;
+    let end = calls.write_until_confirmed(roll_out.clone(), wanted).await;
     let is_beginning = matches!(end, StateWriteEnd::Confirmed(_)) && !wanted.is_final();
     // The receiver is gone only if this daemon is stopping.
     let _ = ended.send(EndedWrite {
@@ -96,6 +96,6 @@
         end,
     });
     if !is_beginning {
-        calls.bring_into_force().await;
+        calls.read_and_apply_all().await;
     }
 }
--- a/crates/tansylead-gateway/src/roll_out/version_send.rs
+++ b/crates/tansylead-gateway/src/roll_out/version_send.rs
@@ -1,4 +1,4 @@
-//! One request that was handed to a leaf, from then to its end, as evidence on the leaf's version.
+//! One attempt, from its send to a leaf to its end, as evidence on the leaf's version.
 
 use super::service_versions::ServiceVersions;
 use crate::clock::Clock;
@@ -8,27 +8,27 @@
 use tansylead_route::OrderId;
 use tansylead_types::Moment;
 
-/// How an attempt ended, as evidence.
+/// How an attempt ended, as far as it is evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendEnd {
     /// The leaf gave a good answer.
     Good,
     /// The leaf ran the request, or may have, and gave a bad answer or none.
     Failed,
-    /// The leaf did not run the request: that tells nothing of its version.
+    /// The leaf did not run the request: no evidence on its version.
     NotRun,
-    /// Nobody waited any longer.
+    /// The attempt was dropped before an answer came.
     Abandoned,
 }
 
-/// What an attempt is bound to, as far as evidence needs it.
+/// Properties of the request of an attempt that evidence needs.
 #[derive(Debug, Clone)]
 pub struct SendTerms {
     /// Hash of the route's name.
     pub route: u32,
     /// After this time an answer is overdue.
     pub overdue_delay: Duration,
-    /// When the request ends, answered or not.
+    /// Deadline of the request.
     pub end: Moment,
     /// Whether any attempt of the same request was sent.
     pub is_request_sent: Rc<Cell<bool>>,
@@ -37,9 +37,9 @@
 /// The leaf of an attempt, as it was when the request was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct SendTarget {
-    /// Time for the way there and back.
-    pub way: Duration,
-    /// Whether the leaf was cold: its latency tells nothing.
+    /// Network round trip to the leaf.
+    pub round_trip: Duration,
+    /// Whether the leaf was cold: its latency is no evidence then.
     pub is_cold: bool,
 }
 
@@ -48,21 +48,21 @@
 pub(super) struct SendResult {
     /// Hash of the route's name.
     pub(super) route: u32,
-    /// Whether it was at the target version.
+    /// Whether the leaf ran the target version.
     pub(super) is_new: bool,
     /// How it ended.
     pub(super) end: SendEnd,
-    /// Its latency, or the least that its latency would have been.
+    /// Its latency; of an abandoned attempt, a lower bound of it.
     pub(super) latency: Option<Duration>,
 }
 
-/// An attempt that runs; ends when dropped.
+/// A running attempt; its end is counted when this is dropped.
 #[derive(Debug)]
 pub struct VersionSend {
     versions: Rc<ServiceVersions>,
-    /// Place of the version among those that the service has shown.
+    /// Index of the version in [`RunningSends`](super::running_sends::RunningSends).
     version: usize,
-    /// Order that it counts for, and whether it went to the target version.
+    /// The order under which it was sent, and whether the leaf runs the target version.
     order: Option<(OrderId, bool)>,
     terms: SendTerms,
     target: SendTarget,
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Notes how the attempt ended.
+    /// Sets how the attempt ended.
     pub fn set_end(&self, end: SendEnd) {
         self.end.set(end);
     }
 
-    /// The result; none if it tells nothing.
+    /// The result; `None` if it is no evidence.
     fn result(&self, now: Moment, is_new: bool) -> Option<SendResult> {
         let waited = now.since(self.sent);
         let is_overdue = waited > self.terms.overdue_delay;
@@ -110,7 +110,7 @@
             route: self.terms.route,
             is_new,
             end,
-            latency: has_latency.then(|| waited.saturating_sub(self.target.way)),
+            latency: has_latency.then(|| waited.saturating_sub(self.target.round_trip)),
         })
     }
 }
--- a/crates/tansylead-gateway/tests/roll_out_codec.rs
+++ b/crates/tansylead-gateway/tests/roll_out_codec.rs
@@ -73,7 +73,7 @@
         judge: node(2),
         boot: 3,
         sequence,
-        turn: 0,
+        grant_number: 0,
         grant: Grant {
             stage: Stage::Shift,
             limit: 40,
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn datagrams_of_other_clusters_and_kinds_are_not_heeded() {
+fn datagrams_of_other_clusters_and_kinds_are_ignored() {
     let datagram = RollOutCodec::new("other").encode(&[grant(1)]).remove(0);
     assert_eq!(RollOutCodec::new("cluster").decode(&datagram), None);
     let reports = tansylead_gateway::cluster::ReportCodec::new("other");
@@ -110,7 +110,7 @@
     let mut shortened = report(&answers);
     let left_out = fit_report(&mut shortened);
     assert!(left_out > 0 && left_out < 60);
-    let told: Vec<u32> = shortened
+    let sent: Vec<u32> = shortened
         .evidence
         .routes
         .iter()
@@ -118,7 +118,7 @@
         .collect();
     let mut best = answers.clone();
     best.sort_unstable();
-    assert_eq!(told.iter().min(), Some(&best[left_out]));
+    assert_eq!(sent.iter().min(), Some(&best[left_out]));
     let codec = RollOutCodec::new("cluster");
     let encoded = codec.encode_counted(&[RollOutMessage::Report(shortened)]);
     assert_eq!((encoded.datagrams.len(), encoded.left_out), (1, 0));
--- a/crates/tansylead-gateway/tests/roll_out_conclusions.rs
+++ b/crates/tansylead-gateway/tests/roll_out_conclusions.rs
@@ -1,4 +1,4 @@
-//! How a roll-out without any evidence ends, and stands in the source, whatever fails meanwhile.
+//! A roll-out without any evidence ends, and its conclusion is stored in the source, whatever fails meanwhile.
 
 mod roll_out_world;
 
@@ -14,7 +14,7 @@
 const DAEMONS: u16 = 6;
 const DURATION: Duration = Duration::from_secs(2);
 /// Longer than the other judges take to write what the first one has concluded.
-const TIME_OF_OTHERS: Duration = Duration::from_secs(6);
+const OTHERS_WRITE_TIME: Duration = Duration::from_secs(6);
 
 /// One roll-out of a fleet.
 struct World {
@@ -29,8 +29,8 @@
         let source = Rc::new(FaultySource::new());
         let running = async {
             let fleet = Fleet::start(DAEMONS, &source);
-            source.give(1, DURATION);
-            fleet.tell(&source.orders());
+            source.add_order(1, DURATION);
+            fleet.set_orders(&source.orders());
             let judges = fleet.daemons[0].view.judges(&service());
             let others = fleet.others(judges[0]);
             fleet.wait_until_followed(judges[0], &others).await;
@@ -53,7 +53,7 @@
         until("the order is rolled back", is_back).await;
     }
 
-    /// Conclusions that were asked to be written.
+    /// Conclusions for which a write was requested.
     fn conclusions(&self) -> Vec<RollOutState> {
         let writes = self.source.writes.borrow();
         let conclusions = writes.iter().filter(|state| state.is_final());
@@ -110,7 +110,7 @@
         world.until_rolled_back().await;
         world.fleet.daemon(world.judges[0]).stop();
         let written = world.source.current();
-        // Nobody tells the others: the next judge takes the conclusion over, and finds that it stands.
+        // The other daemons get no message: the next judge takes the conclusion over, and finds it at the source.
         let next = &world.fleet.daemon(world.judges[1]).gateway;
         let is_in_force = || known_state(next) == Some(RollOutState::RolledBack);
         until("the next judge knows", is_in_force).await;
@@ -141,7 +141,7 @@
         world.fleet.network.cut.borrow_mut().insert(world.judges[0]);
         world.until_rolled_back().await;
         let written = world.source.current();
-        tokio::time::sleep(TIME_OF_OTHERS).await;
+        tokio::time::sleep(OTHERS_WRITE_TIME).await;
         assert_eq!(world.source.current(), written);
         for judge in &world.judges[..2] {
             let gateway = &world.fleet.daemon(*judge).gateway;
@@ -154,8 +154,8 @@
 #[tokio::test]
 async fn nothing_is_written_to_an_order_that_was_taken_back() {
     World::run(async |world| {
-        world.source.take_back();
-        world.fleet.tell(&world.source.orders());
+        world.source.remove_order();
+        world.fleet.set_orders(&world.source.orders());
         tokio::time::sleep(2 * DURATION).await;
         assert_eq!(world.conclusions(), []);
     })
--- a/crates/tansylead-gateway/tests/roll_out_ends.rs
+++ b/crates/tansylead-gateway/tests/roll_out_ends.rs
@@ -1,4 +1,4 @@
-//! Where requests to a service go when a roll-out of it ends, and where little is known of it.
+//! Which leafs get the requests to a service when a roll-out of it ends, and while little is known of it.
 
 mod common;
 
@@ -54,10 +54,10 @@
 }
 
 #[tokio::test]
-async fn if_the_word_on_orders_is_old_the_target_is_the_last_resort() {
-    let mut old_word = settings();
-    old_word.bounds.configuration_limit_millis = f64::MIN_POSITIVE;
-    let fleet = Fleet::with_settings(old_word).await;
+async fn if_the_orders_are_stale_the_target_is_the_last_resort() {
+    let mut settings_with_stale_orders = settings();
+    settings_with_stale_orders.bounds.configuration_limit_millis = f64::MIN_POSITIVE;
+    let fleet = Fleet::with_settings(settings_with_stale_orders).await;
     fleet.set_state(RollOutState::Running, STARTED);
     tokio::time::sleep(Duration::from_millis(1)).await;
     assert_eq!(fleet.send(2).await, (2, 0));
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn where_roll_outs_are_not_followed_versions_mean_nothing() {
+async fn where_roll_outs_are_not_followed_versions_are_ignored() {
     let mut unfollowed = settings();
     unfollowed.bounds.follow_roll_outs = false;
     let fleet = Fleet::with_settings(unfollowed).await;
--- a/crates/tansylead-gateway/tests/roll_out_evidence.rs
+++ b/crates/tansylead-gateway/tests/roll_out_evidence.rs
@@ -1,4 +1,4 @@
-//! What the ends of attempts show of the versions of their leafs.
+//! The evidence that the ends of attempts give on the versions of their leafs.
 
 mod common;
 
@@ -50,7 +50,7 @@
     assert_eq!((evidence.requests, evidence.new_sends), (1, 1));
 }
 
-/// Evidence on a leaf that says nothing, after its caller has left. The answer was overdue after
+/// Evidence on a leaf that does not answer, after its caller has left. The answer was overdue after
 /// `overdue_delay`.
 async fn evidence_of_silence(overdue_delay: Duration, end: Moment) -> RollOutEvidence {
     let old = FakeLeaf::good().await;
@@ -118,13 +118,13 @@
 }
 
 #[tokio::test]
-async fn the_end_of_the_last_attempt_on_old_leafs_is_told_when_requests_move() {
+async fn the_end_of_the_last_attempt_on_old_leafs_is_signalled_when_requests_move() {
     for stage in [Stage::Shift, Stage::Commit] {
-        the_end_is_told_in(stage).await;
+        the_end_is_signalled_in(stage).await;
     }
 }
 
-async fn the_end_is_told_in(stage: Stage) {
+async fn the_end_is_signalled_in(stage: Stage) {
     let (old, new) = (working().await, FakeLeaf::good().await);
     let trial = Trial::new(&old, &new);
     let attempts = async {
--- a/crates/tansylead-gateway/tests/roll_out_fleet.rs
+++ b/crates/tansylead-gateway/tests/roll_out_fleet.rs
@@ -1,5 +1,4 @@
-//! Daemons and their judges: who is followed, and what becomes of a roll-out when daemons, messages or the source
-//! fail.
+//! Which judge daemons follow, and how a roll-out goes on when daemons, messages or the source fail.
 
 mod roll_out_world;
 
@@ -29,8 +28,8 @@
     let source = source();
     let running = async {
         let fleet = Fleet::start(DAEMONS, &source);
-        source.give(1, duration);
-        fleet.tell(&source.orders());
+        source.add_order(1, duration);
+        fleet.set_orders(&source.orders());
         let judges = fleet.daemons[0].view.judges(&service());
         test(&fleet, &source, judges).await;
     };
@@ -42,17 +41,17 @@
     let source = source();
     let running = async {
         let fleet = Fleet::start(DAEMONS, &source);
-        fleet.tell(&source.orders());
+        fleet.set_orders(&source.orders());
         tokio::time::sleep(SOME_PERIODS).await;
         assert!(fleet.network.reports.borrow().is_empty());
-        source.give(1, LONG);
-        fleet.tell(&source.orders());
+        source.add_order(1, LONG);
+        fleet.set_orders(&source.orders());
         until("reports come", || {
             !fleet.network.reports.borrow().is_empty()
         })
         .await;
         source.set_state(RollOutState::RolledBack);
-        fleet.tell(&source.orders());
+        fleet.set_orders(&source.orders());
         fleet.network.reports.borrow_mut().clear();
         tokio::time::sleep(SOME_PERIODS).await;
         assert!(fleet.network.reports.borrow().is_empty());
--- a/crates/tansylead-gateway/tests/roll_out_judge.rs
+++ b/crates/tansylead-gateway/tests/roll_out_judge.rs
@@ -1,4 +1,4 @@
-//! The trials of one judge: which reports it takes in, and when they end.
+//! The trials of one judge: which reports it accepts, and when they end.
 
 mod roll_out_world;
 
@@ -42,7 +42,7 @@
 
 fn ordered() -> FaultySource {
     let source = FaultySource::new();
-    source.give(1, DURATION);
+    source.add_order(1, DURATION);
     source
 }
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn reports_of_other_orders_and_to_others_than_judges_are_not_taken_in() {
+fn reports_of_other_orders_and_to_others_than_judges_are_not_accepted() {
     let source = ordered();
     let mut judge = judge(&source);
     let now = Moment::from_millis(1_000);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn only_the_first_judge_notes_a_beginning_once_it_is_followed_and_until_it_stands() {
+fn only_the_first_judge_writes_a_beginning_once_it_is_followed_and_until_it_is_confirmed() {
     let members = [node(1), node(5)];
     let source = ordered();
     let mut judge = judge(&source);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_source_is_asked_only_by_a_followed_judge_near_the_end() {
+fn the_source_is_read_only_by_a_followed_judge_near_the_end() {
     let members = [node(1), node(5)];
     let mut judge = judge(&ordered());
     for (millis, follows, expected) in [
@@ -124,12 +124,12 @@
 }
 
 #[test]
-fn a_judge_that_leads_grants_unasked_to_daemons_that_lack_its_stage() {
+fn a_judge_that_leads_sends_unsolicited_grants_to_daemons_that_lack_its_stage() {
     let members = [node(1), node(5)];
     let mut judge = judge(&ordered());
     let mut now = Moment::from_millis(1_000);
     let answer = judge.on_report(now, &report(1, 8, Some(node(1))), Some(0));
-    let mut place = answer.expect("a judge").place();
+    let mut position = answer.expect("a judge").position();
     for _ in 0..3 {
         now = now + Duration::from_millis(250);
         let evaluations = judge.evaluate(now, context(&members), |_| Some(0));
@@ -137,13 +137,16 @@
             panic!("one daemon lacks the stage: {evaluations:?}");
         };
         assert_eq!((*to, grant.boot), (node(5), 3));
-        assert!(grant.place() > place, "each is newer than the one before");
-        place = grant.place();
+        assert!(
+            grant.position() > position,
+            "each is newer than the one before"
+        );
+        position = grant.position();
     }
     let mut knowing = report(1, 9, Some(node(1)));
     knowing.stage = Some(Stage::Trial);
     let answer = judge.on_report(now, &knowing, Some(0)).expect("a judge");
-    assert!(answer.place() > place);
+    assert!(answer.position() > position);
     let evaluations = judge.evaluate(now, context(&members), |_| Some(0));
     assert!(evaluations[0].grants.is_empty());
 }
@@ -158,14 +161,14 @@
         is_source_fresh: true,
     };
     for (sequence, running_on_old, is_held_back) in [(1, 1, true), (2, 0, false)] {
-        assert_eq!(judge.holds_back(), sequence > 1);
+        assert_eq!(judge.is_completion_held_back(), sequence > 1);
         let mut report = report(1, sequence, Some(node(1)));
         report.stage = Some(Stage::Commit);
         report.evidence.running_on_old = running_on_old;
         judge.on_report(now, &report, Some(0)).expect("a judge");
         let evaluations = judge.evaluate(now, context, |_| Some(0));
         assert_eq!(evaluations[0].write.is_none(), is_held_back);
-        assert_eq!(judge.holds_back(), is_held_back);
+        assert_eq!(judge.is_completion_held_back(), is_held_back);
     }
 }
 
@@ -177,7 +180,7 @@
     judge
         .on_report(now, &report(1, 1, None), Some(0))
         .expect("a judge");
-    source.give(2, DURATION);
+    source.add_order(2, DURATION);
     judge.set_orders(&source.orders());
     let refused = judge.on_report(now, &report(1, 2, None), Some(0));
     assert_eq!(refused, Err(ReportRefusal::UnknownOrder));
@@ -186,25 +189,25 @@
 }
 
 #[test]
-fn what_comes_right_after_a_pause_is_distrusted() {
+fn messages_right_after_a_pause_are_discarded() {
     let mut pauses = PauseGuard::default();
     for millis in (0..2_000).step_by(50) {
         let now = Moment::from_millis(millis);
         assert_eq!(pauses.check(now), None);
-        assert!(!pauses.distrusts(now));
+        assert!(!pauses.is_discarding(now));
     }
     let woken = Moment::from_millis(9_000);
     assert!(pauses.check(woken).is_some());
-    assert!(pauses.distrusts(woken));
+    assert!(pauses.is_discarding(woken));
     let later = Moment::from_millis(9_300);
     assert_eq!(pauses.check(later), None);
-    assert!(!pauses.distrusts(later));
+    assert!(!pauses.is_discarding(later));
 }
 
 #[test]
-fn a_rest_is_no_pause() {
+fn the_time_while_the_guard_is_suspended_is_no_pause() {
     let mut pauses = PauseGuard::default();
     pauses.check(Moment::from_millis(0));
-    pauses.rest();
+    pauses.suspend();
     assert_eq!(pauses.check(Moment::from_millis(9_000)), None);
 }
--- a/crates/tansylead-gateway/tests/roll_out_metrics.rs
+++ b/crates/tansylead-gateway/tests/roll_out_metrics.rs
@@ -1,4 +1,4 @@
-//! What metrics tell of versions under trial.
+//! The metrics of versions under trial.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn sends_and_what_is_left_of_the_grant_are_told_while_the_trial_lasts() {
+async fn sends_and_the_rest_of_the_grant_are_exported_while_the_trial_lasts() {
     let registry = Registry::new();
     let metrics = RollOutMetrics::new(&registry);
     let context = RollOutContext::new(&settings().bounds, Clock.now(), metrics);
@@ -35,24 +35,27 @@
     versions.apply(Clock.now(), Some(&running), ORDERED);
     versions.on_grant(Clock.now(), OrderId(1), judge(), grant_of(3));
     leaf.begin().set_sent(Clock.now(), &terms(LIMIT));
-    let told = text(&registry);
+    let exported = text(&registry);
     let lines = [
         "tansylead_roll_out_sends_total{stage=\"trial\"} 1",
         "tansylead_roll_out_sends_left{service=\"search\"} 2",
         "tansylead_roll_out_grant_gone_total 0",
     ];
     for line in lines {
-        assert!(told.contains(line), "{line} in {told}");
+        assert!(exported.contains(line), "{line} in {exported}");
     }
     versions.on_grant(Clock.now(), OrderId(1), judge(), grant_of(1));
     attempt_within(&leaf, terms(LIMIT)).await;
-    let told = text(&registry);
+    let exported = text(&registry);
     assert!(
-        told.contains("tansylead_roll_out_grant_gone_total 1"),
-        "{told}"
+        exported.contains("tansylead_roll_out_grant_gone_total 1"),
+        "{exported}"
     );
     let ended = order(&service(), RollOutState::RolledBack, STARTED);
     versions.apply(Clock.now(), Some(&ended), STARTED);
-    let told = text(&registry);
-    assert!(!told.contains("tansylead_roll_out_sends_left{"), "{told}");
+    let exported = text(&registry);
+    assert!(
+        !exported.contains("tansylead_roll_out_sends_left{"),
+        "{exported}"
+    );
 }
--- a/crates/tansylead-gateway/tests/roll_out_reporter.rs
+++ b/crates/tansylead-gateway/tests/roll_out_reporter.rs
@@ -1,4 +1,4 @@
-//! When a daemon reports of a roll-out, and whose grants it hands on.
+//! When a daemon reports on a roll-out, and which judge's grants it applies.
 
 use std::time::Duration;
 use tansylead_gateway::roll_out::{
@@ -47,7 +47,7 @@
         judge,
         boot: report.boot,
         sequence: report.sequence,
-        turn: 0,
+        grant_number: 0,
         grant,
     }
 }
@@ -102,7 +102,7 @@
         end
     }
 
-    /// Reports for so long, while these judges answer.
+    /// Sends reports for `millis`, while the judges in `answering` answer.
     fn run(&mut self, millis: u64, answering: &[NodeId], grant: Grant) {
         let until = self.millis + millis;
         while self.millis < until {
@@ -117,7 +117,7 @@
     }
 }
 
-/// How many reports are sent in ten seconds, with or without requests; all judges answer.
+/// Number of reports sent in ten seconds, with or without requests; all judges answer.
 fn reports_in_ten_seconds(mut daemon: Daemon, has_requests: bool) -> usize {
     let mut reports = 0;
     while daemon.millis < 10_000 {
@@ -166,43 +166,43 @@
 }
 
 #[test]
-fn the_end_of_the_last_attempt_on_old_leafs_is_told_at_once_in_the_shift_only() {
+fn the_end_of_the_last_attempt_on_old_leafs_is_reported_at_once_in_the_shift_only() {
     for (stage, at_once) in [(Stage::Trial, false), (Stage::Shift, true)] {
         let mut daemon = Daemon::new();
         daemon.evidence.running_on_old = 2;
         daemon.run(1_000, &judges(), grant(9, stage));
-        // Just after a report, all of which are answered.
+        // Right after a report; all reports are answered.
         let report = daemon.next_report();
         daemon.answered(node(1), &report, grant(9, stage));
         daemon.millis += STEP_MILLIS;
         daemon.evidence.running_on_old = 0;
         assert_eq!(daemon.report().is_some(), at_once);
         daemon.millis += STEP_MILLIS;
-        assert!(daemon.report().is_none(), "told once");
+        assert!(daemon.report().is_none(), "reported once");
     }
 }
 
 #[test]
-fn the_commitment_is_told_at_once_by_a_daemon_without_attempts_on_old_leafs() {
+fn the_commitment_is_reported_at_once_by_a_daemon_without_attempts_on_old_leafs() {
     let mut daemon = Daemon::new();
     daemon.run(1_000, &judges(), grant(9, Stage::Shift));
     let report = daemon.next_report();
     daemon.answered(node(1), &report, grant(9, Stage::Shift));
     daemon.millis += STEP_MILLIS;
     let committed = GrantMessage {
-        turn: 1,
+        grant_number: 1,
         ..answer(node(1), &report, grant(9, Stage::Commit))
     };
     let now = daemon.now();
     assert_eq!(
         daemon.reporter.on_answer(now, &committed),
-        AnswerEnd::Heeded
+        AnswerEnd::Accepted
     );
     daemon.reporter.take_grant(now);
-    let told = daemon.report().expect("told at once");
-    assert_eq!(told.stage, Some(Stage::Commit));
+    let reported = daemon.report().expect("reported at once");
+    assert_eq!(reported.stage, Some(Stage::Commit));
     daemon.millis += STEP_MILLIS;
-    assert!(daemon.report().is_none(), "told once");
+    assert!(daemon.report().is_none(), "reported once");
 }
 
 #[test]
@@ -274,7 +274,7 @@
     let later = daemon.next_report();
     assert_eq!(
         daemon.answered(node(1), &later, grant(20, Stage::Shift)),
-        AnswerEnd::Heeded
+        AnswerEnd::Accepted
     );
     let taken = daemon.reporter.take_grant(daemon.now()).expect("new");
     assert_eq!(taken.grant.limit, 20);
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn answers_that_waited_while_the_daemon_was_frozen_are_not_heeded() {
+fn answers_that_waited_while_the_daemon_was_frozen_are_not_accepted() {
     let mut daemon = Daemon::new();
     let report = daemon.next_report();
     daemon.millis += 5_000;
@@ -309,29 +309,34 @@
 }
 
 #[test]
-fn what_is_granted_unasked_is_heeded_until_the_next_report_is_due_and_in_its_order() {
+fn unsolicited_grants_are_accepted_until_the_next_report_is_due_and_in_their_order() {
     let mut daemon = Daemon::new();
     daemon.run(2_000, &judges(), grant(1, Stage::Trial));
     let report = daemon.next_report();
     daemon.answered(node(1), &report, grant(2, Stage::Trial));
     daemon.millis += 900;
-    let unasked = |turn, limit| GrantMessage {
-        turn,
+    let unsolicited = |grant_number, limit| GrantMessage {
+        grant_number,
         ..answer(node(1), &report, grant(limit, Stage::Shift))
     };
     let now = daemon.now();
-    for (turn, limit, end) in [
-        (2, 30, AnswerEnd::Heeded),
+    for (grant_number, limit, end) in [
+        (2, 30, AnswerEnd::Accepted),
         (1, 20, AnswerEnd::Superseded),
         (2, 30, AnswerEnd::Superseded),
-        (3, 40, AnswerEnd::Heeded),
+        (3, 40, AnswerEnd::Accepted),
     ] {
-        assert_eq!(daemon.reporter.on_answer(now, &unasked(turn, limit)), end);
+        assert_eq!(
+            daemon
+                .reporter
+                .on_answer(now, &unsolicited(grant_number, limit)),
+            end
+        );
     }
     let taken = daemon.reporter.take_grant(now).expect("new");
     assert_eq!(taken.grant.limit, 40);
     daemon.millis += 2_000;
-    let late = daemon.reporter.on_answer(daemon.now(), &unasked(4, 50));
+    let late = daemon.reporter.on_answer(daemon.now(), &unsolicited(4, 50));
     assert_eq!(late, AnswerEnd::Late);
 }
 
@@ -343,7 +348,7 @@
     daemon.answered(node(2), &report, grant(2, Stage::Trial));
     daemon.reporter.take_grant(daemon.now());
     daemon.millis += 100;
-    // The first judge is no member any more.
+    // The first judge is no longer a member.
     daemon
         .reporter
         .choose_judge(daemon.now(), &[node(2), node(3)]);
@@ -353,7 +358,7 @@
 }
 
 #[test]
-fn reports_tell_judge_and_stage_and_the_first_conclusion_stays() {
+fn reports_contain_judge_and_stage_and_the_first_conclusion_stays() {
     for (concluded, other) in [
         (Stage::Commit, Stage::RollBack),
         (Stage::RollBack, Stage::Commit),
@@ -363,16 +368,19 @@
         assert_eq!((first.follows, first.stage, first.boot), (None, None, BOOT));
         let mut last = first.sequence;
         let granted = [Stage::Trial, Stage::Shift, concluded, Stage::Trial, other];
-        let told = [Stage::Trial, Stage::Shift, concluded, concluded, concluded];
+        let reported = [Stage::Trial, Stage::Shift, concluded, concluded, concluded];
         let mut report = first;
-        for (granted, told) in granted.into_iter().zip(told) {
+        for (granted, reported) in granted.into_iter().zip(reported) {
             daemon.answered(node(1), &report, grant(1, granted));
             daemon.reporter.take_grant(daemon.now());
             daemon.evidence.requests += 1;
             report = daemon.next_report();
             assert!(report.sequence > last);
             last = report.sequence;
-            assert_eq!((report.follows, report.stage), (Some(node(1)), Some(told)));
+            assert_eq!(
+                (report.follows, report.stage),
+                (Some(node(1)), Some(reported))
+            );
         }
     }
 }
--- a/crates/tansylead-gateway/tests/roll_out_sockets.rs
+++ b/crates/tansylead-gateway/tests/roll_out_sockets.rs
@@ -1,4 +1,4 @@
-//! Messages about roll-outs on membership's socket, and who judges in a fleet that has just met.
+//! Messages about roll-outs on membership's socket, and the judges in a fleet that has just formed.
 
 mod roll_out_world;
 
@@ -38,7 +38,7 @@
         judge: NodeId(([10, 0, 0, 1], 1).into()),
         boot: 1,
         sequence,
-        turn: 0,
+        grant_number: 0,
         grant: Grant {
             stage: Stage::Trial,
             limit: 1,
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn daemons_that_have_met_rank_the_same_judges_and_pass_messages() {
+async fn daemons_that_have_joined_rank_the_same_judges_and_pass_messages() {
     let running = async {
         let (first, first_view, first_link) = member(Vec::new()).await;
         let (second, second_view, second_link) = member(vec![first.0]).await;
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn messages_that_nobody_takes_are_bounded_and_counted() {
+async fn messages_that_are_not_taken_are_bounded_and_counted() {
     let link = RollOutLink::default();
     link.receive((0..5_000).map(grant).collect());
     let waiting = link.take_received().len() as u64;
--- a/crates/tansylead-gateway/tests/roll_out_world/faulty_source.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/faulty_source.rs
@@ -1,4 +1,4 @@
-//! A source of orders to roll out, with one revision counter, that fails as it is told.
+//! A source of roll-out orders, with one revision counter and injected faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -10,33 +10,33 @@
 use tansylead_route::{OrderId, Revision, RollOut, RollOutState, RollOuts};
 use tansylead_types::{ServiceName, SoftwareVersion, StepError};
 
-/// What becomes of a write, or a read.
+/// The outcome of a write or a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Refused; nothing is done.
+    /// It is refused and not applied.
     Refused,
-    /// Nothing is done, and no answer comes.
+    /// It is not applied, and no answer comes.
     NotDone,
-    /// It is done, but no answer comes.
+    /// It is applied, but no answer comes.
     AnswerLost,
-    /// No answer comes; it is done once the order was read.
+    /// No answer comes; it is applied once the order was read.
     DoneAfterRead,
     /// Nothing comes at all, not even the end of the connection.
     Silent,
 }
 
-/// The source.
+/// The source with its faults.
 #[derive(Debug)]
 pub struct FaultySource {
     orders: RefCell<RollOuts>,
     late: RefCell<Vec<(RollOut, RollOutState)>>,
-    /// What becomes of the next writes.
+    /// Outcomes of the next writes.
     pub write_faults: RefCell<VecDeque<Fault>>,
-    /// What becomes of the next reads.
+    /// Outcomes of the next reads.
     pub read_faults: RefCell<VecDeque<Fault>>,
     /// Whether everything is refused.
     pub is_away: Cell<bool>,
-    /// States that writes were asked for.
+    /// States for which a write was requested.
     pub writes: RefCell<Vec<RollOutState>>,
     /// Reads of single orders.
     pub reads: Cell<usize>,
@@ -47,7 +47,7 @@
     ServiceName::new("screening").expect("valid name")
 }
 
-/// An order that lasts so long.
+/// An order with a duration.
 pub fn order(number: u64, duration: Duration, changed_at: Revision) -> RollOut {
     RollOut {
         order: OrderId(number),
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Gives an order. Returns it as it stands.
-    pub fn give(&self, number: u64, duration: Duration) -> RollOut {
+    /// Adds an order. Returns its current state.
+    pub fn add_order(&self, number: u64, duration: Duration) -> RollOut {
         let changed_at = self.next_revision();
         let order = order(number, duration, changed_at);
         let mut orders = self.orders.borrow_mut();
@@ -85,8 +85,8 @@
         order
     }
 
-    /// Takes the order back.
-    pub fn take_back(&self) {
+    /// Removes the order.
+    pub fn remove_order(&self) {
         self.next_revision();
         self.orders.borrow_mut().orders.clear();
     }
@@ -96,7 +96,7 @@
         self.orders.borrow().clone()
     }
 
-    /// The order as it stands.
+    /// The current state of the order.
     pub fn current(&self) -> Option<RollOut> {
         self.orders.borrow().get(&service()).cloned()
     }
--- a/crates/tansylead-gateway/tests/roll_out_world/fleet.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons that roll out together: the real tasks over a network that the test rules.
+//! A fleet of daemons with a roll-out: the real tasks over a network that the test controls.
 
 use super::faulty_source::FaultySource;
 use super::gateway;
@@ -19,8 +19,8 @@
 /// Ends a test that would hang.
 pub const HANG_LIMIT: Duration = Duration::from_secs(60);
 const POLL_PERIOD: Duration = Duration::from_millis(10);
-/// Longest way of a message on a bad network: several messages overtake one another.
-const LONGEST_WAY_MILLIS: u64 = 120;
+/// Longest delay of a message on a bad network: long enough that messages are reordered.
+const MAXIMUM_DELAY_MILLIS: u64 = 120;
 
 /// One daemon.
 pub struct Daemon {
@@ -32,14 +32,14 @@
     task: RefCell<Option<AbortHandle>>,
 }
 
-/// What the network does to messages.
+/// The faults of the network.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// Daemons to and from which nothing comes through.
+    /// Daemons that are cut off from all others.
     pub cut: RefCell<BTreeSet<NodeId>>,
-    /// Reports that were sent, lost ones too.
+    /// Reports that were sent, including lost ones.
     pub reports: RefCell<Vec<RollOutReport>>,
-    /// Share of the messages that are lost, and as many are doubled; the others are late by chance.
+    /// Share of the messages that are lost, and of those that are duplicated; the others get a random delay.
     pub faults: std::cell::Cell<f64>,
 }
 
@@ -103,7 +103,7 @@
 }
 
 impl Fleet {
-    /// So many daemons over a good network, started.
+    /// Starts `count` daemons over a network without faults.
     pub fn start(count: u16, source: &Rc<FaultySource>) -> Self {
         let members: Vec<MemberRecord> = (0..count).map(record).collect();
         let daemons = members
@@ -123,8 +123,8 @@
         fleet
     }
 
-    /// Tells all daemons the orders.
-    pub fn tell(&self, orders: &RollOuts) {
+    /// Gives the orders to all daemons.
+    pub fn set_orders(&self, orders: &RollOuts) {
         for daemon in &self.daemons {
             daemon.gateway.apply_roll_outs(orders.clone());
         }
@@ -138,7 +138,7 @@
             .expect("a member")
     }
 
-    /// Forgets the reports seen so far, and waits until all these daemons say that they follow a judge.
+    /// Clears the reports seen so far, and waits until all daemons in `by` report that they follow the judge.
     pub async fn wait_until_followed(&self, judge: NodeId, by: &[NodeId]) {
         self.network.reports.borrow_mut().clear();
         until("a judge is followed", || {
@@ -170,7 +170,7 @@
     assert!(waited.is_ok(), "never: {what}");
 }
 
-/// Carries the messages of one daemon.
+/// Delivers the messages of one daemon over the network.
 async fn carry(from: Rc<Daemon>, peers: Vec<Rc<Daemon>>, network: Rc<Network>, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     loop {
@@ -199,10 +199,10 @@
     let copies = if chance < 2.0 * faults { 2 } else { 1 };
     for _ in 0..copies {
         let (peer, message) = (Rc::clone(peer), message.clone());
-        let way = random.random_range(0..=LONGEST_WAY_MILLIS);
+        let delay = random.random_range(0..=MAXIMUM_DELAY_MILLIS);
         spawn_local(async move {
             if faults > 0.0 {
-                tokio::time::sleep(Duration::from_millis(way)).await;
+                tokio::time::sleep(Duration::from_millis(delay)).await;
             }
             peer.link.receive(vec![message]);
         });
--- a/crates/tansylead-gateway/tests/roll_out_world/mod.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/mod.rs
@@ -1,4 +1,4 @@
-//! Parts of a world in which services are rolled out.
+//! Helpers for tests of roll-outs.
 
 #[allow(dead_code, reason = "not every test file needs all of it")]
 pub mod faulty_source;
--- a/crates/tansylead-gateway/tests/roll_out_writes.rs
+++ b/crates/tansylead-gateway/tests/roll_out_writes.rs
@@ -1,5 +1,4 @@
-//! States of roll-outs are brought into a source that refuses, stays silent, loses answers or was written by
-//! another judge.
+//! Writes of roll-out states to a source that refuses, stays silent, loses answers or was written by another judge.
 
 mod roll_out_world;
 
@@ -21,15 +20,15 @@
 
 async fn write(source: &Rc<FaultySource>, held: &RollOut, wanted: RollOutState) -> StateWriteEnd {
     let calls = calls(source);
-    let end = calls.write_until_it_stands(held.clone(), wanted);
+    let end = calls.write_until_confirmed(held.clone(), wanted);
     let end = tokio::time::timeout(HANG_LIMIT, end).await;
     end.expect("the writing ends")
 }
 
-/// Writes a completion while the first writes fail like this. Returns how often it was written.
+/// Writes a completion while the first writes fail with `faults`. Returns the number of writes.
 async fn writes_with(faults: &[Fault]) -> usize {
     let source = Rc::new(FaultySource::new());
-    let held = source.give(1, DURATION);
+    let held = source.add_order(1, DURATION);
     source.write_faults.borrow_mut().extend(faults);
     let end = write(&source, &held, RollOutState::Completed).await;
     let current = source.current().expect("ordered");
@@ -75,7 +74,7 @@
 #[tokio::test]
 async fn an_order_is_read_back_until_the_source_answers() {
     let source = Rc::new(FaultySource::new());
-    let held = source.give(1, DURATION);
+    let held = source.add_order(1, DURATION);
     source
         .write_faults
         .borrow_mut()
@@ -93,7 +92,7 @@
     for (wanted, other) in [(ends[0], ends[1]), (ends[1], ends[0])] {
         for fault in [None, Some(Fault::NotDone), Some(Fault::DoneAfterRead)] {
             let source = Rc::new(FaultySource::new());
-            let held = source.give(1, DURATION);
+            let held = source.add_order(1, DURATION);
             source.set_state(other);
             source.write_faults.borrow_mut().extend(fault);
             let end = write(&source, &held, wanted).await;
@@ -106,7 +105,7 @@
 #[tokio::test]
 async fn a_conclusion_is_written_under_the_revision_that_another_judge_left() {
     let source = Rc::new(FaultySource::new());
-    let held = source.give(1, DURATION);
+    let held = source.add_order(1, DURATION);
     source.set_state(RollOutState::Running);
     let end = write(&source, &held, RollOutState::Completed).await;
     assert!(matches!(end, StateWriteEnd::Confirmed(_)));
@@ -116,18 +115,18 @@
 #[tokio::test]
 async fn nothing_is_written_to_an_order_that_is_gone_or_another_one() {
     let source = Rc::new(FaultySource::new());
-    let held = source.give(1, DURATION);
-    source.take_back();
+    let held = source.add_order(1, DURATION);
+    source.remove_order();
     let end = write(&source, &held, RollOutState::Completed).await;
     assert_eq!(end, StateWriteEnd::Gone);
-    let other = source.give(2, DURATION);
+    let other = source.add_order(2, DURATION);
     let end = write(&source, &held, RollOutState::Completed).await;
     assert_eq!(end, StateWriteEnd::Replaced);
     assert_eq!(source.current(), Some(other));
 }
 
 #[tokio::test]
-async fn of_two_judges_at_once_one_writes_and_both_know_what_stands() {
+async fn of_two_judges_at_once_one_writes_and_both_learn_the_written_state() {
     for faults in [
         vec![],
         vec![Fault::AnswerLost],
@@ -135,18 +134,18 @@
         vec![Fault::NotDone, Fault::Refused],
     ] {
         let source = Rc::new(FaultySource::new());
-        let held = source.give(1, DURATION);
+        let held = source.add_order(1, DURATION);
         source.write_faults.borrow_mut().extend(faults);
         let (first, second) = tokio::join!(
             write(&source, &held, RollOutState::Completed),
             write(&source, &held, RollOutState::RolledBack),
         );
         let current = source.current().expect("ordered");
-        let told = [
+        let ends = [
             (first, RollOutState::Completed),
             (second, RollOutState::RolledBack),
         ];
-        for (end, wanted) in told {
+        for (end, wanted) in ends {
             let expected = if wanted == current.state {
                 StateWriteEnd::Confirmed(current.changed_at)
             } else {
@@ -158,19 +157,19 @@
 }
 
 #[tokio::test]
-async fn what_stands_is_in_force_here_once_the_source_tells_it() {
+async fn the_current_order_is_applied_here_once_the_source_returns_it() {
     let source = Rc::new(FaultySource::new());
-    let held = source.give(1, DURATION);
+    let held = source.add_order(1, DURATION);
     let gateway = gateway(([127, 0, 0, 1], 1).into(), Vec::new());
     gateway.apply_roll_outs(source.orders());
     let calls = SourceCalls::new(Rc::clone(&gateway), Rc::clone(&source));
     assert!(!calls.is_fresh());
     calls
-        .write_until_it_stands(held, RollOutState::RolledBack)
+        .write_until_confirmed(held, RollOutState::RolledBack)
         .await;
     assert!(calls.is_fresh());
     source.read_faults.borrow_mut().push_back(Fault::Refused);
-    calls.bring_into_force().await;
+    calls.read_and_apply_all().await;
     let known = gateway.roll_outs().expect("known");
     assert_eq!(known, source.orders());
     let state = known.get(&service()).map(|order| order.state);
--- a/crates/tansylead-gateway/tests/roll_outs.rs
+++ b/crates/tansylead-gateway/tests/roll_outs.rs
@@ -1,4 +1,4 @@
-//! Where requests to a service go while a version of it is under trial.
+//! Which leafs get the requests to a service while a version of it is under trial.
 
 mod common;
 
@@ -144,18 +144,18 @@
 }
 
 #[tokio::test]
-async fn the_trace_of_a_request_tells_of_the_trial() {
+async fn the_trace_of_a_request_shows_the_trial() {
     let fleet = Fleet::granted(Stage::Trial, 1).await;
     for expected in [Some(Stage::Trial), None] {
         let call = call(&fleet.gateway, true);
         let trace = Rc::clone(&call.trace);
         LocalSet::new().run_until(call.run()).await;
-        let mut told = Vec::new();
+        let mut trials = Vec::new();
         trace.for_each(|traced| {
             if let Decision::Started { trial, .. } = traced.decision {
-                told.push(trial);
+                trials.push(trial);
             }
         });
-        assert_eq!(told, [expected]);
+        assert_eq!(trials, [expected]);
     }
 }
--- a/crates/tansylead-gateway/tests/roll_outs_needed.rs
+++ b/crates/tansylead-gateway/tests/roll_outs_needed.rs
@@ -1,4 +1,4 @@
-//! How far the orders to roll out must be known for the leafs that are held, and how the source is read for it.
+//! Up to which revision the roll-out orders must be known for the known leafs, and how the source is read for that.
 
 mod common;
 
@@ -44,7 +44,7 @@
     entry
 }
 
-/// A leaf's entry appears.
+/// Adds a leaf's entry.
 fn appear(gateway: &Gateway, entry: LeafEntry) {
     let after = gateway.directory().revision().expect("known");
     gateway.apply_directory(DirectoryDelta::Changes {
@@ -150,7 +150,7 @@
     assert_eq!(gateway.roll_outs(), Some(newest));
 }
 
-/// A source without changes: a watch waits for its time to pass, and each read is of a later revision.
+/// A source without changes: a watch waits until its timeout, and each read is of a later revision.
 #[derive(Debug, Default)]
 struct QuietSource {
     /// Revision of the source; rises with each leaf.
@@ -178,7 +178,7 @@
     }
 
     async fn watch(&self, _: Topic, _: Revision, _: Duration) -> Result<SourceUpdate, SourceError> {
-        // Longer than the test: what is learned is learned by reads.
+        // Longer than the test: changes are learned only by reads.
         std::future::pending().await
     }
 
@@ -248,17 +248,17 @@
         }
         until_not_needed(&gateway).await;
         let periods = Clock.now().since(began).as_millis() / READ_PERIOD.as_millis();
-        let most = u32::try_from(periods).expect("small") + 1;
-        assert!(source.reads.get() <= most, "{}", source.reads.get());
+        let maximum = u32::try_from(periods).expect("small") + 1;
+        assert!(source.reads.get() <= maximum, "{}", source.reads.get());
         assert_eq!(source.asked.borrow()[0], Freshness::Cached);
     };
     LocalSet::new().run_until(watching).await;
 }
 
 #[test]
-fn the_word_on_orders_may_grow_old_while_none_is_open() {
-    // Regression: a fourth topic that was asked for as often as the others raised the calls to the source by up to
-    // 0.4 of what they had been.
+fn the_orders_may_be_stale_while_none_is_open() {
+    // Regression: a fourth topic that was read as often as the others raised the calls to the source by up to 0.4
+    // of what they had been.
     let gateway = gateway(true);
     assert!(gateway.must_be_fresh(Topic::RollOuts), "nothing is known");
     gateway.apply_roll_outs(no_orders(1));
