--- a/crates/tansylead-gateway/src/roll_out/source_contact.rs
+++ b/crates/tansylead-gateway/src/roll_out/source_contact.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether the source has answered within [`FRESH_LIMIT`].
+    /// Whether the source has answered within `FRESH_LIMIT`.
     pub fn is_fresh(&self, now: Moment) -> bool {
         let answered = self.answered.get();
         answered.is_some_and(|answered| now.since(answered) <= FRESH_LIMIT)
--- a/crates/tansylead-gateway/tests/roll_out_world/fleet.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/fleet.rs
@@ -39,7 +39,7 @@
     pub cut: RefCell<BTreeSet<NodeId>>,
     /// Reports that were sent, including lost ones.
     pub reports: RefCell<Vec<RollOutReport>>,
-    /// Share of the messages that are lost, and of those that are duplicated; the others get a random delay.
+    /// Share of the messages that are lost, and of those that are duplicated; all that arrive get a random delay.
     pub faults: std::cell::Cell<f64>,
 }
 
