--- a/crates/tansylead-daemon/src/assembly.rs
+++ b/crates/tansylead-daemon/src/assembly.rs
@@ -296,7 +296,7 @@
 
     fn claims(&self, channels: &Channels) -> Arc<Claims> {
         Arc::new(Claims::new(ClaimParts {
-            me: self.instance,
+            own_instance: self.instance,
             settings: ClaimSettings::clone(&self.claim_settings),
             peers: Arc::clone(&self.peers),
             configuration: channels.configuration.subscribe(),
--- a/crates/tansylead-daemon/src/claims/acquire.rs
+++ b/crates/tansylead-daemon/src/claims/acquire.rs
@@ -1,4 +1,4 @@
-//! One claim: drives the requester until its one decision.
+//! Acquires one claim: drives the state machine of its requester until it decides.
 
 use super::service::Claims;
 use crate::clock::Clock;
@@ -11,29 +11,30 @@
 use tansylead_types::{ClaimView, Moment};
 use tokio::sync::mpsc;
 
-/// Told to callers when the deadline passed before the claim was decided.
+/// Retry time given to callers when the deadline passed before the claim was decided.
 const RETRY_AFTER_DEADLINE: Duration = Duration::from_millis(500);
 
-/// A decision, and the last attempt it concerns.
+/// A decision, and the last claim attempt that it concerns.
 #[derive(Debug)]
-pub(super) struct Acquired {
+pub(super) struct AcquireResult {
     pub(super) decision: ClaimDecision,
     pub(super) claim: ClaimId,
 }
 
-/// Asks the key's group until there is a decision or the deadline passes.
+/// Requests the claim from the key's group until there is a decision or the deadline passes.
 pub(super) async fn acquire(
     claims: &Arc<Claims>,
     view: &ClaimView,
     terms: ClaimTerms,
     deadline: Moment,
-) -> Acquired {
-    let me = claims.parts.me;
+) -> AcquireResult {
+    let own_instance = claims.parts.own_instance;
     let settings = claims.settings().clone();
     let seed: u64 = rand::random();
     let time = claims.time();
-    let synthetic = terms.clone();
-    let (mut requester, mut actions) = ClaimRequester::start(me, settings, view, terms, seed, time);
+    let released_terms = terms.clone();
+    let (mut requester, mut actions) =
+        ClaimRequester::start(own_instance, settings, view, terms, seed, time);
     let (events_sender, mut events) = mpsc::unbounded_channel();
     loop {
         for action in actions {
@@ -43,7 +44,7 @@
                     tokio::spawn(async move {
                         let asked = request.to;
                         let limit = claims.settings().vote_timeout;
-                        let event = match claims.ask(request, limit).await {
+                        let event = match claims.send_request(request, limit).await {
                             Some(response) => ClaimRequesterEvent::Response { asked, response },
                             None => ClaimRequesterEvent::Failed { asked },
                         };
@@ -52,7 +53,7 @@
                 }
                 ClaimRequesterAction::Decide(decision) => {
                     let claim = requester.claim();
-                    return Acquired { decision, claim };
+                    return AcquireResult { decision, claim };
                 }
             }
         }
@@ -62,16 +63,21 @@
             () = tokio::time::sleep_until(Clock.instant_at(wakeup)) => ClaimRequesterEvent::Wakeup,
         };
         if Clock.time_left(deadline).is_zero() {
-            return give_up(claims, view, &synthetic, requester.claim());
+            return release_after_deadline(claims, view, &released_terms, requester.claim());
         }
         actions = requester.on_event(claims.time(), event);
     }
 }
 
-/// The deadline has passed: nothing will be dispatched, and the members may forget the claim.
-fn give_up(claims: &Arc<Claims>, view: &ClaimView, terms: &ClaimTerms, claim: ClaimId) -> Acquired {
+/// Releases the claim after the deadline: nothing will be dispatched, and the members may drop it.
+fn release_after_deadline(
+    claims: &Arc<Claims>,
+    view: &ClaimView,
+    terms: &ClaimTerms,
+    claim: ClaimId,
+) -> AcquireResult {
     let holder = ClaimHolder {
-        owner: claims.parts.me,
+        owner: claims.parts.own_instance,
         claim,
     };
     let grant = ClaimGrant {
@@ -86,7 +92,7 @@
         retry_after: RETRY_AFTER_DEADLINE,
         highest_epoch: view.epoch,
     };
-    Acquired { decision, claim }
+    AcquireResult { decision, claim }
 }
 
 /// Tells the members that nothing was or will be dispatched under the grant. Loss is harmless.
@@ -95,7 +101,7 @@
         let claims = Arc::clone(claims);
         tokio::spawn(async move {
             let limit = claims.settings().vote_timeout;
-            let _ = claims.ask(request, limit).await;
+            let _ = claims.send_request(request, limit).await;
         });
     }
 }
--- a/crates/tansylead-daemon/src/claims/execution.rs
+++ b/crates/tansylead-daemon/src/claims/execution.rs
@@ -1,5 +1,5 @@
-//! Executes a non-repeatable request as root: at most one dispatch for a key, and for repetitions
-//! the answer that is held, or the truth about what is not known.
+//! Executes a non-repeatable request as root, with at most one dispatch for a key. Repetitions get
+//! the answer that is held, or one that says what is not known.
 
 use super::acquire::{acquire, release};
 use super::service::{Claims, KeyOutcome};
@@ -12,14 +12,14 @@
 };
 use tansylead_types::{ClaimView, Moment, Outcome, QueryAnswer, RequestId, ServiceName, WallTime};
 
-/// Told to callers when to look again for the answer to a request in progress.
+/// Retry time given to callers that repeat a request in progress.
 const RETRY_AFTER_IN_PROGRESS: Duration = Duration::from_secs(1);
-/// Told to callers when there are no claim members yet.
+/// Retry time given to callers when there are no claim members yet.
 const RETRY_AFTER_WITHOUT_VIEW: Duration = Duration::from_secs(2);
 /// Time allowed for asking the holder of a key.
 const HOLDER_LIMIT: Duration = Duration::from_millis(500);
 
-/// A non-repeatable request on its way to the one dispatch.
+/// Execution of a non-repeatable request, up to its only dispatch.
 #[derive(Debug, Clone)]
 pub struct ClaimedExecution {
     claims: Arc<Claims>,
@@ -65,21 +65,21 @@
         }
     }
 
-    /// Runs `dispatch` if the key may be dispatched, and remembers its answer. `dispatch` gives
-    /// none if the request may have run without an answer.
+    /// Runs `dispatch` if the key may be dispatched, and keeps its answer. `dispatch` returns
+    /// `None` if the request may have run without an answer.
     pub async fn run<F>(self, dispatch: impl FnOnce() -> F) -> QueryAnswer
     where
         F: Future<Output = Option<QueryAnswer>>,
     {
-        let permit = match self.permission().await {
+        let permit = match self.request_permission().await {
             Permission::Answer(answer) => {
                 self.count("refused");
                 return *answer;
             }
             Permission::Dispatch(permit) => permit,
         };
-        // A process paused since the grant is stopped here; later pauses by the check right before
-        // the bytes leave, and by the leaf.
+        // This check stops a process that was paused since the grant; later pauses are caught by
+        // the check right before the bytes are sent, and by the leaf.
         if let Err(refusal) =
             check_before_dispatch(self.expires, Clock.wall(), self.claims.settings())
         {
@@ -100,7 +100,7 @@
         answer
     }
 
-    async fn permission(&self) -> Permission {
+    async fn request_permission(&self) -> Permission {
         let wall = Clock.wall();
         if let Err(refusal) = check_before_dispatch(self.expires, wall, self.claims.settings()) {
             // An earlier request with the key may have run.
@@ -113,7 +113,7 @@
             .lock()
             .begin(&self.key, self.expires, wall);
         match begin {
-            BeginOutcome::Known(status) => Permission::Answer(Box::new(self.known(status))),
+            BeginOutcome::Known(status) => Permission::Answer(Box::new(self.known_answer(status))),
             BeginOutcome::Full => {
                 let reason = "too many keys are in use".to_owned();
                 let answer = self.not_run(reason, Some(RETRY_AFTER_IN_PROGRESS));
@@ -123,7 +123,7 @@
         }
     }
 
-    fn known(&self, status: AnswerStatus) -> QueryAnswer {
+    fn known_answer(&self, status: AnswerStatus) -> QueryAnswer {
         match status {
             AnswerStatus::Finished(answer) => self.repeated(*answer),
             AnswerStatus::InProgress => self.in_progress(),
@@ -155,7 +155,7 @@
             }
             ClaimDecision::HeldBy { holders } => {
                 self.claims.answers.lock().mark_not_run(&self.key, claim);
-                self.answer_of_holders(&holders).await
+                self.answer_from_holders(&holders).await
             }
             ClaimDecision::Refused {
                 reason,
@@ -170,13 +170,13 @@
         Permission::Answer(Box::new(answer))
     }
 
-    /// What the holders of the key say became of it.
-    async fn answer_of_holders(&self, holders: &[ClaimHolder]) -> QueryAnswer {
+    /// The answer that follows from what the holders of the key report.
+    async fn answer_from_holders(&self, holders: &[ClaimHolder]) -> QueryAnswer {
         let mut in_progress = false;
         let mut never_ran = true;
         for holder in holders {
             let limit = HOLDER_LIMIT.min(Clock.time_left(self.deadline));
-            match self.claims.ask_holder(&self.key, *holder, limit).await {
+            match self.claims.request_outcome(&self.key, *holder, limit).await {
                 KeyOutcome::Finished(answer) => return self.repeated(*answer),
                 KeyOutcome::InProgress => in_progress = true,
                 KeyOutcome::NotRun => continue,
@@ -195,7 +195,7 @@
         self.unknown(reason, None)
     }
 
-    /// Nothing was or will be dispatched under the permit.
+    /// Gives up a permit under which nothing was or will be dispatched.
     fn abandon(&self, permit: &Permit) {
         self.claims
             .answers
--- a/crates/tansylead-daemon/src/claims/member_task.rs
+++ b/crates/tansylead-daemon/src/claims/member_task.rs
@@ -1,4 +1,4 @@
-//! Keeps this daemon's claim member going: heartbeats, copies of earlier claims, expiry.
+//! Runs this daemon's claim member: heartbeats, copies of earlier claims, expiry.
 
 use super::service::Claims;
 use crate::clock::Clock;
@@ -14,7 +14,7 @@
 
 /// A response to a request of the member.
 #[derive(Debug)]
-struct Answered {
+struct MemberResponse {
     asked: InstanceId,
     response: ClaimResponse,
 }
@@ -24,7 +24,7 @@
     claims: Arc<Claims>,
     mut configuration: watch::Receiver<Arc<ConfigurationView>>,
 ) {
-    let (answered_sender, mut answered) = mpsc::unbounded_channel();
+    let (response_sender, mut responses) = mpsc::unbounded_channel();
     let mut sweep = tokio::time::interval(ANSWER_SWEEP_PERIOD);
     let mut known_generation = 0;
     loop {
@@ -39,7 +39,7 @@
         feed(
             &claims,
             event.unwrap_or(ClaimMemberEvent::Wakeup),
-            &answered_sender,
+            &response_sender,
         );
         let wakeup = claims.member.lock().next_wakeup();
         tokio::select! {
@@ -48,9 +48,9 @@
                     return;
                 }
             }
-            Some(Answered { asked, response }) = answered.recv() => {
+            Some(MemberResponse { asked, response }) = responses.recv() => {
                 let event = ClaimMemberEvent::Response { asked, response };
-                feed(&claims, event, &answered_sender);
+                feed(&claims, event, &response_sender);
             }
             () = claims.member_changed.notified() => {}
             _ = sweep.tick() => claims.answers.lock().drop_expired(Clock.wall()),
@@ -59,20 +59,28 @@
     }
 }
 
-fn feed(claims: &Arc<Claims>, event: ClaimMemberEvent, answered: &mpsc::UnboundedSender<Answered>) {
+fn feed(
+    claims: &Arc<Claims>,
+    event: ClaimMemberEvent,
+    responses: &mpsc::UnboundedSender<MemberResponse>,
+) {
     let requests = claims.member.lock().on_event(claims.time(), event);
     for request in requests {
-        send(claims, request, answered.clone());
+        send(claims, request, responses.clone());
     }
 }
 
-fn send(claims: &Arc<Claims>, request: ClaimRequest, answered: mpsc::UnboundedSender<Answered>) {
+fn send(
+    claims: &Arc<Claims>,
+    request: ClaimRequest,
+    responses: mpsc::UnboundedSender<MemberResponse>,
+) {
     let claims = Arc::clone(claims);
     tokio::spawn(async move {
         let asked = request.to;
         let limit = claims.settings().copy_retry;
-        if let Some(response) = claims.ask(request, limit).await {
-            let _ = answered.send(Answered { asked, response });
+        if let Some(response) = claims.send_request(request, limit).await {
+            let _ = responses.send(MemberResponse { asked, response });
         }
     });
 }
--- a/crates/tansylead-daemon/src/claims/mod.rs
+++ b/crates/tansylead-daemon/src/claims/mod.rs
@@ -1,6 +1,6 @@
-//! Non-repeatable requests: claims them with a quorum of daemons before the one dispatch, keeps
-//! their answers for repetitions, and proposes the views of claim members. Decisions are those of
-//! `tansylead_cluster::claims`.
+//! Non-repeatable requests: claims them with a quorum of daemons before their only dispatch, keeps
+//! their answers for repetitions, and proposes the views of claim members.
+//! `tansylead_cluster::claims` makes the decisions.
 
 mod acquire;
 mod execution;
--- a/crates/tansylead-daemon/src/claims/planner_task.rs
+++ b/crates/tansylead-daemon/src/claims/planner_task.rs
@@ -21,14 +21,15 @@
 use tansylead_types::{ChangeId, ClaimView, ClaimViewMember, ConfigObject, InstanceId, ObjectKey};
 use tokio::sync::watch;
 
-/// Longest pause between two looks; pauses are drawn so that daemons seldom write at once.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
-/// Shortest pause.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum interval between two checks; intervals are random so that daemons seldom write at the
+/// same time.
+const MAXIMUM_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Minimum interval.
+const MINIMUM_INTERVAL: Duration = Duration::from_millis(500);
 /// Time allowed for the status of one member.
 const STATUS_LIMIT: Duration = Duration::from_millis(500);
 
-/// What the planner works with.
+/// Dependencies of the planner.
 #[derive(Debug)]
 pub struct PlannerParts {
     /// Claims of this daemon.
@@ -43,16 +44,16 @@
     pub status: watch::Receiver<Arc<ClusterStatus>>,
 }
 
-/// What is remembered between two looks.
+/// State kept between two checks.
 #[derive(Debug)]
-struct Planning {
+struct PlannerState {
     planner: ClaimViewPlanner,
     repair: ClaimViewRepair,
 }
 
-impl Planning {
-    /// Notes which generation the store named after a write, and which one was held before it.
-    fn note(&mut self, in_store: Option<u64>, held: u64) {
+impl PlannerState {
+    /// Records which generation the store reported after a write, and which one was held before it.
+    fn record_store_generation(&mut self, in_store: Option<u64>, held: u64) {
         if let Some(in_store) = in_store {
             self.repair.on_store_generation(in_store, held);
         }
@@ -63,46 +64,46 @@
 #[derive(Debug, Default)]
 struct MemberReports {
     statuses: BTreeMap<InstanceId, ClaimMemberStatus>,
-    /// Highest epoch that they or this daemon have heard of.
+    /// Highest epoch that they or this daemon know of.
     highest_epoch: u64,
 }
 
 /// Runs until its task is ended.
 pub async fn run_claim_planner(parts: PlannerParts) {
-    let mut planning = Planning {
+    let mut state = PlannerState {
         planner: ClaimViewPlanner::new(Clock.now()),
         repair: ClaimViewRepair::default(),
     };
     loop {
-        let pause = rand::rng().random_range(SHORTEST_PAUSE..LONGEST_PAUSE);
-        tokio::time::sleep(pause).await;
-        let state = parts.status.borrow().store.clone();
-        let is_read = matches!(state, StoreState::Current | StoreState::Behind { .. });
-        if is_read && parts.members.borrow().joined {
-            consider(&parts, &mut planning, &state).await;
+        let interval = rand::rng().random_range(MINIMUM_INTERVAL..MAXIMUM_INTERVAL);
+        tokio::time::sleep(interval).await;
+        let store_state = parts.status.borrow().store.clone();
+        let reads_store = matches!(store_state, StoreState::Current | StoreState::Behind { .. });
+        if reads_store && parts.members.borrow().joined {
+            check_view(&parts, &mut state, &store_state).await;
         }
     }
 }
 
-async fn consider(parts: &PlannerParts, planning: &mut Planning, store: &StoreState) {
+async fn check_view(parts: &PlannerParts, state: &mut PlannerState, store: &StoreState) {
     let configuration = Arc::clone(&parts.configuration.borrow());
     let generation = configuration.generation(&ObjectKey::ClaimView);
     let current = configuration.claim_view().cloned();
-    // A store that is behind may have forgotten a view.
+    // A store that is behind may have lost a view.
     let may_be_first = generation == 0 && *store == StoreState::Current;
-    if current.is_none() && (!may_be_first || !parts.never_existed().await) {
+    if current.is_none() && (!may_be_first || !parts.has_never_existed().await) {
         return;
     }
     if let Some(view) = current
         .as_deref()
-        .filter(|view| planning.repair.is_needed(view, generation))
+        .filter(|view| state.repair.is_needed(view, generation))
     {
-        parts.write_again(view, generation, planning).await;
+        parts.repair_store(view, generation, state).await;
         return;
     }
     let live = live_daemons(&parts.members.borrow());
     let now = Clock.now();
-    let planner = &mut planning.planner;
+    let planner = &mut state.planner;
     if !planner.is_change_due(now, current.as_deref(), &live) {
         return;
     }
@@ -110,21 +111,21 @@
     let planned = planner.plan(Clock.now(), current.as_deref(), &live, &reports.statuses);
     if let Some(view) = planned {
         let in_store = parts.write(view, generation).await;
-        planning.note(in_store, generation);
+        state.record_store_generation(in_store, generation);
     }
 }
 
 impl PlannerParts {
-    /// Whether the store says that there never was a view.
-    async fn never_existed(&self) -> bool {
+    /// Whether the store reports that there never was a view.
+    async fn has_never_existed(&self) -> bool {
         matches!(self.store.get(&ObjectKey::ClaimView).await, Ok(None))
     }
 
-    /// One step towards the store holding the view in force at its own generation.
-    async fn write_again(&self, view: &ClaimView, generation: u64, planning: &mut Planning) {
+    /// Takes one step towards a store that holds the view in force at its own generation.
+    async fn repair_store(&self, view: &ClaimView, generation: u64, state: &mut PlannerState) {
         let reports = self.member_reports(Some(view)).await;
         let step =
-            planning
+            state
                 .repair
                 .next_step(view, generation, &reports.statuses, reports.highest_epoch);
         if let ClaimViewRepairStep::Write {
@@ -136,7 +137,7 @@
                 view.epoch
             );
             let in_store = self.write(view.clone(), expected_generation).await;
-            planning.note(in_store, generation);
+            state.record_store_generation(in_store, generation);
         }
     }
 
@@ -148,16 +149,16 @@
         let Some(view) = current else {
             return reports;
         };
-        let asking = view.members.iter().map(|member| {
+        let requests = view.members.iter().map(|member| {
             let request = ClaimRequest {
                 epoch: view.epoch,
-                from: self.claims.parts.me,
+                from: self.claims.parts.own_instance,
                 to: member.instance,
                 body: ClaimRequestBody::Status,
             };
-            self.claims.ask(request, STATUS_LIMIT)
+            self.claims.send_request(request, STATUS_LIMIT)
         });
-        let answered = futures_util::future::join_all(asking).await;
+        let answered = futures_util::future::join_all(requests).await;
         for response in answered.into_iter().flatten() {
             reports.highest_epoch = reports.highest_epoch.max(response.epoch);
             if let ClaimResponseBody::Status(status) = response.body {
@@ -167,7 +168,8 @@
         reports
     }
 
-    /// Returns the generation that the store now holds, if it says so; 0 without the object.
+    /// Writes a view. Returns the generation that the store then holds, if it reports one; 0
+    /// without the object.
     async fn write(&self, view: ClaimView, expected_generation: u64) -> Option<u64> {
         let number: u128 = rand::rng().random();
         let change = ChangeId::new(format!("claim-view-{number:032x}")).ok()?;
--- a/crates/tansylead-daemon/src/claims/service.rs
+++ b/crates/tansylead-daemon/src/claims/service.rs
@@ -1,4 +1,4 @@
-//! What this daemon holds about claims: its claim member, and what became of the keys that it
+//! State of claims in this daemon: its claim member, and the outcomes of the keys that it
 //! dispatched as root.
 
 use crate::clock::Clock;
@@ -16,15 +16,15 @@
 use tansylead_types::{ClaimView, InstanceId, Moment, QueryAnswer};
 use tokio::sync::{Notify, watch};
 
-/// Most bytes of answers kept for repetitions.
+/// Maximum size of the answers kept for repetitions.
 const MAXIMUM_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Most keys remembered as root.
+/// Maximum number of keys remembered as root.
 const MAXIMUM_KEYS: usize = 100_000;
 
-/// What became of a key at one root.
+/// Outcome of a key at one root.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum KeyOutcome {
-    /// It is under way.
+    /// It is in progress.
     InProgress,
     /// It ran, or may have run, and this was the answer.
     Finished(Box<QueryAnswer>),
@@ -34,11 +34,11 @@
     Unknown,
 }
 
-/// What claims work with.
+/// Dependencies of [`Claims`].
 #[derive(Debug)]
 pub struct ClaimParts {
     /// This run of this daemon.
-    pub me: InstanceId,
+    pub own_instance: InstanceId,
     /// Time limits and sizes.
     pub settings: ClaimSettings,
     /// Other daemons.
@@ -49,7 +49,7 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// What this daemon holds about claims.
+/// State of claims in this daemon.
 #[derive(Debug)]
 pub struct Claims {
     pub(super) parts: ClaimParts,
@@ -64,7 +64,7 @@
     /// Claims of a daemon that has just started.
     pub fn new(parts: ClaimParts) -> Self {
         let now = Clock.now();
-        let member = ClaimMember::new(parts.me, parts.settings.clone(), now);
+        let member = ClaimMember::new(parts.own_instance, parts.settings.clone(), now);
         let answers = AnswerCache::new(parts.settings.clone(), MAXIMUM_ANSWER_BYTES, MAXIMUM_KEYS);
         Self {
             parts,
@@ -92,9 +92,9 @@
         self.member.lock().is_needed()
     }
 
-    /// What became of a key under a holder's claim, if the holder is this very run.
+    /// Outcome of a key under a holder's claim; unknown unless the holder is this very run.
     pub fn key_outcome(&self, key: &ClaimKey, holder: ClaimHolder) -> KeyOutcome {
-        if holder.owner != self.parts.me {
+        if holder.owner != self.parts.own_instance {
             return KeyOutcome::Unknown;
         }
         let status = self.answers.lock().status(key, self.clock.wall());
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Both clocks.
+    /// The time of both clocks.
     pub(super) fn time(&self) -> ClaimTime {
         ClaimTime::read(|| self.clock.wall(), || self.clock.now())
     }
@@ -122,14 +122,15 @@
         self.parts.configuration.borrow().claim_view().cloned()
     }
 
-    /// Sends a request to a claim member, which may be this daemon's own. None without a response.
-    pub(super) async fn ask(
+    /// Sends a request to a claim member, which may be this daemon's own. `None` without a
+    /// response.
+    pub(super) async fn send_request(
         &self,
         request: ClaimRequest,
         limit: Duration,
     ) -> Option<ClaimResponse> {
         let to = request.to;
-        if to.node == self.parts.me.node {
+        if to.node == self.parts.own_instance.node {
             return Some(self.on_request(&request));
         }
         let request = PeerRequest::Claim(Box::new(request));
@@ -139,14 +140,14 @@
         }
     }
 
-    /// Asks a holder what became of a key.
-    pub(super) async fn ask_holder(
+    /// Requests the outcome of a key from a holder.
+    pub(super) async fn request_outcome(
         &self,
         key: &ClaimKey,
         holder: ClaimHolder,
         limit: Duration,
     ) -> KeyOutcome {
-        if holder.owner.node == self.parts.me.node {
+        if holder.owner.node == self.parts.own_instance.node {
             return self.key_outcome(key, holder);
         }
         let request = PeerRequest::KeyOutcome {
--- a/crates/tansylead-daemon/src/cluster/driver/gossip.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/gossip.rs
@@ -1,19 +1,19 @@
 //! Gossip datagrams in and out.
 //!
-//! Owns how packets travel: decoded, counted and handed to membership; encoded, counted and sent.
-//! Invariant: sending and receiving never wait. A datagram that cannot be read or sent is counted
-//! or lost; membership is made for lost packets.
+//! Decodes and counts incoming packets and passes them to membership; encodes, counts and sends
+//! outgoing ones. Invariant: sending and receiving never wait. A datagram that cannot be read or
+//! sent is counted or lost; membership tolerates lost packets.
 
 use super::ClusterDriver;
 use std::net::SocketAddr;
 use tansylead_cluster::membership::{GossipPacket, MembershipEvent};
 use tansylead_types::NodeId;
 
-/// Datagrams taken in one go before timers and publications are looked at again.
+/// Maximum number of datagrams handled before timers and publications are checked again.
 const PACKETS_PER_TURN: usize = 64;
 
 impl ClusterDriver {
-    /// Takes the datagrams that have arrived already, up to the limit of one turn.
+    /// Handles the datagrams that have already arrived, up to the limit of one turn.
     pub(super) fn receive_more(&mut self, buffer: &mut [u8]) {
         for _ in 0..PACKETS_PER_TURN {
             match self.parts.socket.try_recv_from(buffer) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Hands one datagram to membership.
+    /// Passes one datagram to membership.
     pub(super) fn on_datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
         let metrics = &self.parts.metrics;
         metrics.control_bytes("gossip", "in", bytes.len());
@@ -46,7 +46,7 @@
                 self.parts
                     .metrics
                     .control_bytes("gossip", "out", bytes.len());
-                // A datagram that cannot be sent now is as good as lost on the way.
+                // A datagram that cannot be sent now counts as lost.
                 let _ = self.parts.socket.try_send_to(&bytes, to.0);
             }
             Err(error) => {
--- a/crates/tansylead-daemon/src/cluster/driver/membership.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/membership.rs
@@ -1,7 +1,7 @@
 //! Feeds the membership state machine and performs its actions.
 //!
 //! Invariant: each change of a member goes to the in-force checks and to configuration spread in
-//! the order in which membership reports it. They may feed membership again meanwhile.
+//! the order in which membership reports it. They may feed membership again while it does so.
 
 use super::ClusterDriver;
 use tansylead_cluster::membership::{MemberRecord, MembershipAction, MembershipEvent};
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The members that run, reachable or not.
+    /// The running members, reachable or not.
     pub(super) fn running_members(&self) -> Vec<MemberRecord> {
         let members = self.parts.membership.members();
         members
--- a/crates/tansylead-daemon/src/cluster/driver/mod.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/mod.rs
@@ -1,12 +1,12 @@
 //! The task that owns membership and configuration spread.
 //!
-//! This file owns the task's state and its event loop: it takes datagrams, inputs, ended reads and
-//! due timers one at a time. The modules below each have one part:
+//! This file owns the task's state and its event loop: it handles datagrams, inputs, ended reads
+//! and due timers one at a time. Each of the modules below has one part:
 //!
 //! - `gossip`: datagrams in and out;
 //! - `membership`, `spread`: feed an event to the state machine and perform the actions it returns;
 //! - `reads`: the reads of a peer and of the store that run beside the loop;
-//! - `in_force`: the checks of where a revision is in force;
+//! - `in_force`: checks on which daemons a revision is in force;
 //! - `publish`: what the rest of the daemon sees.
 //!
 //! Invariants: only this task touches the state machines; nothing in the loop waits on the network
@@ -46,7 +46,7 @@
     pub cluster: String,
 }
 
-/// What the cluster task works with.
+/// Dependencies of the cluster task.
 #[derive(Debug)]
 pub struct ClusterParts {
     /// Membership.
@@ -59,7 +59,7 @@
     pub peers: Arc<PeerClient>,
     /// The platform's store.
     pub store: StoreClient,
-    /// A watch of the store is held this long.
+    /// How long the store may hold a watch request open.
     pub store_watch_wait: Duration,
     /// Time allowed for pulls.
     pub spread_settings: SpreadSettings,
@@ -93,7 +93,7 @@
 }
 
 impl ClusterDriver {
-    /// A driver of these parts.
+    /// A driver with these dependencies.
     pub fn new(identity: ClusterIdentity, parts: ClusterParts) -> Self {
         Self {
             codec: GossipCodec::new(&identity.cluster),
--- a/crates/tansylead-daemon/src/cluster/driver/publish.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/publish.rs
@@ -1,6 +1,6 @@
 //! Publishes members, configuration and status to the rest of the daemon.
 //!
-//! Invariants: readers see whole views, each replaced at once; a change of members or of the
+//! Invariants: readers see complete views, each replaced as a whole; a change of members or of the
 //! configuration is followed by a status in the same turn; the status is otherwise renewed once a
 //! period.
 
@@ -16,7 +16,7 @@
 const STATUS_PERIOD: Duration = Duration::from_millis(500);
 
 impl ClusterDriver {
-    /// Tells the rest of the daemon what has changed.
+    /// Publishes what has changed to the rest of the daemon.
     pub(super) fn publish(&mut self) {
         if std::mem::take(&mut self.members_changed) {
             let joined = self.parts.membership.is_joined();
--- a/crates/tansylead-daemon/src/cluster/driver/reads.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/reads.rs
@@ -1,9 +1,9 @@
 //! Reads of the configuration that run beside the event loop: pulls from a peer and reads of the
 //! platform's store.
 //!
-//! Invariants: at most one pull and one read of the store are open; starting another of its kind
-//! or stopping it aborts the open one; a result that was on its way by then is known by its number
-//! and is not accepted.
+//! Invariants: at most one pull and one read of the store are pending; starting another of its kind
+//! or stopping it aborts the pending one; a result that was already sent by then is recognized by
+//! its number and dropped.
 
 use crate::peers::{PeerClient, PeerRequest, PeerResponse};
 use crate::platform::StoreClient;
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 use tokio_util::task::AbortOnDropHandle;
 
-/// What a read ends with.
+/// Result of a read.
 pub(super) type ReadResult = Result<ObjectList, StepError>;
 
 /// The report of a read that has ended.
@@ -37,23 +37,23 @@
 
 /// A read in progress; it is aborted when this is dropped.
 #[derive(Debug)]
-struct OpenRead {
+struct PendingRead {
     number: u64,
     _task: AbortOnDropHandle<()>,
 }
 
-/// The open reads and the channel on which they report.
+/// The pending reads and the channel on which they report.
 #[derive(Debug)]
 pub(super) struct ConfigurationReads {
     last_number: u64,
-    pull: Option<OpenRead>,
-    store: Option<OpenRead>,
+    pull: Option<PendingRead>,
+    store: Option<PendingRead>,
     ended_sender: mpsc::UnboundedSender<ReadEnded>,
     ended: mpsc::UnboundedReceiver<ReadEnded>,
 }
 
 impl ConfigurationReads {
-    /// No read is open.
+    /// No read is pending.
     pub(super) fn new() -> Self {
         let (ended_sender, ended) = mpsc::unbounded_channel();
         Self {
@@ -65,21 +65,24 @@
         }
     }
 
-    /// Waits for the next report. Dropping the wait loses none.
+    /// Waits for the next report. Dropping the future loses no report.
     pub(super) async fn next_ended(&mut self) -> Option<ReadEnded> {
         self.ended.recv().await
     }
 
-    /// Closes the read that this report is of. False if it is no longer open.
-    pub(super) fn close(&mut self, ended: &ReadEnded) -> bool {
-        let (open, number) = match ended {
+    /// Removes the pending read that this report belongs to. Returns false if it is no longer
+    /// pending.
+    pub(super) fn remove_pending(&mut self, ended: &ReadEnded) -> bool {
+        let (pending, number) = match ended {
             ReadEnded::Pull { number, .. } => (&mut self.pull, *number),
             ReadEnded::Store { number, .. } => (&mut self.store, *number),
         };
-        open.take_if(|open| open.number == number).is_some()
+        pending
+            .take_if(|pending| pending.number == number)
+            .is_some()
     }
 
-    /// Starts a pull from a peer of all that is newer than a revision.
+    /// Starts a pull from a peer of all objects after a revision.
     pub(super) fn start_pull(
         &mut self,
         peers: &Arc<PeerClient>,
@@ -98,13 +101,13 @@
                 result,
             });
         });
-        self.pull = Some(OpenRead {
+        self.pull = Some(PendingRead {
             number,
             _task: AbortOnDropHandle::new(task),
         });
     }
 
-    /// Starts a read of the store: a watch held for `watch_wait`, or a list if that is absent.
+    /// Starts a read of the store: a watch held for `watch_wait`, or a list if that is `None`.
     pub(super) fn start_store(
         &mut self,
         store: &StoreClient,
@@ -124,13 +127,13 @@
                 result,
             });
         });
-        self.store = Some(OpenRead {
+        self.store = Some(PendingRead {
             number,
             _task: AbortOnDropHandle::new(task),
         });
     }
 
-    /// Aborts the open read of the store.
+    /// Aborts the pending read of the store.
     pub(super) fn stop_store(&mut self) {
         self.store = None;
     }
--- a/crates/tansylead-daemon/src/cluster/driver/spread.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/spread.rs
@@ -1,6 +1,6 @@
 //! Feeds the configuration spread state machine and performs its actions.
 //!
-//! Invariant: an ended read reaches the state machine only if it is still the one it asked for.
+//! Invariant: an ended read reaches the state machine only if it is still the one it requested.
 
 use super::ClusterDriver;
 use super::reads::{ReadEnded, ReadResult};
@@ -32,9 +32,9 @@
         }
     }
 
-    /// Takes the result of a read, unless the read is no longer wanted.
+    /// Handles the result of a read, unless the read was stopped or replaced.
     pub(super) fn on_read_ended(&mut self, ended: ReadEnded) {
-        if !self.reads.close(&ended) {
+        if !self.reads.remove_pending(&ended) {
             return;
         }
         match ended {
--- a/crates/tansylead-daemon/src/cluster/handle.rs
+++ b/crates/tansylead-daemon/src/cluster/handle.rs
@@ -1,4 +1,4 @@
-//! How the rest of the daemon speaks to the cluster task.
+//! Handle through which the rest of the daemon sends messages to the cluster task.
 
 use std::time::Duration;
 use tansylead_cluster::spread::InForceReport;
@@ -14,11 +14,11 @@
     Exit(oneshot::Sender<()>),
     /// The machine list was read.
     MachineList(MachineList),
-    /// A peer wants everything after a revision.
+    /// A peer pulls all objects after a revision.
     ServePull {
         /// The revision.
         after: u64,
-        /// Where it goes.
+        /// Where the objects go.
         reply: oneshot::Sender<ObjectList>,
     },
     /// Find out on which daemons a revision is in force.
@@ -50,7 +50,7 @@
         let _ = self.inputs.send(ClusterInput::Leave);
     }
 
-    /// Says goodbye to the peers.
+    /// Tells the peers that this daemon exits, and waits until the last packets are sent.
     pub async fn exit(&self) {
         let (reply, done) = oneshot::channel();
         if self.inputs.send(ClusterInput::Exit(reply)).is_ok() {
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Passes the machine list on.
-    pub fn machine_list(&self, list: MachineList) {
+    /// Passes on a machine list.
+    pub fn send_machine_list(&self, list: MachineList) {
         let _ = self.inputs.send(ClusterInput::MachineList(list));
     }
 
-    /// Everything of the configuration after a revision; none if there is nothing to serve.
+    /// All configuration objects after a revision; `None` if there is nothing to serve.
     pub async fn pull(&self, after: u64) -> Option<ObjectList> {
         let (reply, list) = oneshot::channel();
         let input = ClusterInput::ServePull { after, reply };
@@ -71,7 +71,7 @@
         list.await.ok()
     }
 
-    /// On which daemons a revision is in force; none if the task has ended.
+    /// On which daemons a revision is in force; `None` if the task has ended.
     pub async fn in_force(&self, revision: u64, limit: Duration) -> Option<InForceReport> {
         let (reply, report) = oneshot::channel();
         let input = ClusterInput::CheckInForce {
--- a/crates/tansylead-daemon/src/cluster/machine_list.rs
+++ b/crates/tansylead-daemon/src/cluster/machine_list.rs
@@ -1,5 +1,5 @@
 //! Reads the platform's machine list: often while this daemon has not joined or reads the store,
-//! seldom otherwise, because the platform bears few readers. What it says is a hint.
+//! seldom otherwise, because the platform supports few readers. Its contents are only hints.
 
 use super::handle::ClusterHandle;
 use super::view::{ClusterStatus, MemberView};
@@ -21,9 +21,9 @@
 const READER_PERIOD: Duration = Duration::from_secs(1);
 /// Period of all others.
 const OTHERS_PERIOD: Duration = Duration::from_secs(600);
-/// How often the period is reconsidered.
+/// How often the period is checked.
 const STEP_PERIOD: Duration = Duration::from_secs(1);
-/// Periods are shortened by up to this share, so that daemons do not read in step.
+/// Periods are shortened by up to this share, so that daemons do not read at the same time.
 const JITTER_SHARE: f64 = 0.2;
 
 /// Reads the machine list for as long as its task runs.
@@ -35,11 +35,11 @@
     status: watch::Receiver<Arc<ClusterStatus>>,
     routes: Arc<Routes>,
     leaving: BTreeSet<SocketAddr>,
-    reachable: bool,
+    is_reachable: bool,
 }
 
 impl MachineListReader {
-    /// A reader that tells membership and, about leaving leafs, the roots.
+    /// A reader that passes the list to membership, and its leaving leafs to the roots.
     pub fn new(
         client: MachineListClient,
         cluster: ClusterHandle,
@@ -54,7 +54,7 @@
             status,
             routes,
             leaving: BTreeSet::new(),
-            reachable: true,
+            is_reachable: true,
         }
     }
 
@@ -69,7 +69,7 @@
             }
             if since_renewal >= RENEWAL_PERIOD {
                 since_renewal = Duration::ZERO;
-                self.renew();
+                self.repeat_notices();
             }
             let share = 1.0 - rand::rng().random_range(0.0..JITTER_SHARE);
             tokio::time::sleep(STEP_PERIOD.mul_f64(share)).await;
@@ -91,16 +91,16 @@
     async fn read(&mut self) {
         match self.client.list().await {
             Ok(list) => {
-                self.note_reachable(None);
-                self.tell_roots(&list);
-                self.cluster.machine_list(list);
+                self.log_reachability(None);
+                self.notify_roots(&list);
+                self.cluster.send_machine_list(list);
             }
-            Err(error) => self.note_reachable(Some(error.to_string())),
+            Err(error) => self.log_reachability(Some(error.to_string())),
         }
     }
 
-    /// Tells the roots in this place at once about each leaf that is newly said to be leaving.
-    fn tell_roots(&mut self, list: &MachineList) {
+    /// Notifies the roots in this place at once of each leaf that is newly listed as leaving.
+    fn notify_roots(&mut self, list: &MachineList) {
         let leaving = list
             .machines
             .iter()
@@ -113,10 +113,10 @@
         self.leaving = leaving;
     }
 
-    /// Tells the roots again what the last list said: roots that are new have not heard it, and the
-    /// others forget what is not repeated. A read that fails takes nothing back. Daemons that read
-    /// the list seldom do not repeat it, because it may be long out of date.
-    fn renew(&self) {
+    /// Notifies the roots again of the leaving leafs of the last list: new roots were not notified
+    /// of them, and the others drop what is not repeated. A failed read revokes nothing. Daemons
+    /// that read the list seldom do not repeat it, because it may be long out of date.
+    fn repeat_notices(&self) {
         if self.period() < OTHERS_PERIOD {
             for address in &self.leaving {
                 self.routes.notify_leaf_leaving(*address);
@@ -124,12 +124,12 @@
         }
     }
 
-    fn note_reachable(&mut self, error: Option<String>) {
-        let reachable = error.is_none();
-        if self.reachable == reachable {
+    fn log_reachability(&mut self, error: Option<String>) {
+        let is_reachable = error.is_none();
+        if self.is_reachable == is_reachable {
             return;
         }
-        self.reachable = reachable;
+        self.is_reachable = is_reachable;
         match error {
             None => log::info!("machine list is reachable"),
             Some(error) => log::warn!("machine list is not reachable: {error}"),
--- a/crates/tansylead-daemon/src/cluster/view.rs
+++ b/crates/tansylead-daemon/src/cluster/view.rs
@@ -1,4 +1,4 @@
-//! What the cluster task publishes.
+//! The views that the cluster task publishes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 /// Members as this daemon sees them.
 #[derive(Debug, Clone, Default)]
 pub struct MemberView {
-    /// Members that may be given new work, ordered by address: alive or suspect, in a place that
-    /// answers.
+    /// Members that may be given new work, ordered by address: alive or suspect, in a reachable
+    /// place.
     pub live: Vec<MemberRecord>,
-    /// Members believed to run in a place that answers: the live ones and those that are leaving.
+    /// Members believed to run in a reachable place: the live ones and those that are leaving.
     pub present: Vec<MemberRecord>,
-    /// Live members that do not answer probes: they keep their place in serving sets for a while,
-    /// but get queries only where nobody else is left.
+    /// Live members that do not answer probes: they stay in serving sets for a while, but get
+    /// queries only if no other root is left.
     pub suspects: BTreeSet<NodeId>,
     /// Whether joining is complete.
     pub joined: bool,
@@ -67,7 +67,7 @@
 /// State of membership and configuration spread, for readiness, `status` and metrics.
 #[derive(Debug, Clone)]
 pub struct ClusterStatus {
-    /// Why there is no configuration; none if there is one.
+    /// Why there is no configuration; `None` if there is one.
     pub not_ready: Option<NotReadyReason>,
     /// What is known of the store.
     pub store: StoreState,
--- a/crates/tansylead-daemon/src/peer_service.rs
+++ b/crates/tansylead-daemon/src/peer_service.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    fn notice(&self, from: InstanceId, notice: PeerNotice) {
+    fn handle_notice(&self, from: InstanceId, notice: PeerNotice) {
         match notice {
             PeerNotice::Share(share) => {
                 let key = PlacementKey {
--- a/crates/tansylead-daemon/src/peers/client.rs
+++ b/crates/tansylead-daemon/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Calls to peers over one connection each, made when first needed.
+//! Calls to peers, over one connection per peer that is opened on first use.
 
 use super::link::{Call, LinkCommand, LinkLimits, run_link};
 pub use super::link::{CallError, ForwardAllowance};
@@ -21,8 +21,8 @@
     pub connect: Duration,
     /// A connection without requests for this long is closed.
     pub idle: Duration,
-    /// Commands waiting to be written to one peer at most.
-    pub waiting: usize,
+    /// Maximum number of commands waiting to be written to one peer.
+    pub maximum_waiting: usize,
 }
 
 impl Default for PeerClientLimits {
@@ -30,12 +30,12 @@
         Self {
             connect: Duration::from_millis(500),
             idle: Duration::from_secs(60),
-            waiting: 1_024,
+            maximum_waiting: 1_024,
         }
     }
 }
 
-/// Calls peers.
+/// Sends requests and notices to peers.
 #[derive(Debug)]
 pub struct PeerClient {
     hello: Arc<Hello>,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Asks a peer and waits for its response until the deadline. Dropping the future cancels the
-    /// request at the peer.
+    /// Sends a request to a peer and waits for its response until the deadline. Dropping the future
+    /// cancels the request at the peer.
     pub async fn call(
         &self,
         peer: NodeId,
@@ -69,7 +69,8 @@
         self.call_within(peer, request, deadline, allowance).await
     }
 
-    /// Like [`PeerClient::call`]; the peer is told a time left that is shorter by the allowance.
+    /// Like [`PeerClient::call`]; the time left that is sent to the peer is shorter by the
+    /// allowance.
     pub async fn call_within(
         &self,
         peer: NodeId,
@@ -117,7 +118,7 @@
         let _ = self.send(peer, LinkCommand::Notify(Box::new(notice)));
     }
 
-    /// Hands a command to the link of a peer, starting one if there is none.
+    /// Passes a command to the link of a peer, starting one if there is none.
     fn send(
         &self,
         peer: NodeId,
@@ -139,7 +140,7 @@
     }
 
     fn start_link(&self, peer: NodeId) -> mpsc::Sender<LinkCommand> {
-        let (sender, commands) = mpsc::channel(self.limits.waiting);
+        let (sender, commands) = mpsc::channel(self.limits.maximum_waiting);
         let limits = LinkLimits {
             connect: self.limits.connect,
             idle: self.limits.idle,
@@ -149,8 +150,8 @@
         sender
     }
 
-    /// Forgets links that have ended, so that peers long gone cost nothing.
-    pub fn forget_ended_links(&self) {
+    /// Removes links that have ended, so that departed peers use no memory.
+    pub fn remove_ended_links(&self) {
         self.links.lock().retain(|_, link| !link.is_closed());
     }
 }
--- a/crates/tansylead-daemon/src/peers/codec.rs
+++ b/crates/tansylead-daemon/src/peers/codec.rs
@@ -1,4 +1,4 @@
-//! Bytes of the frames between daemons.
+//! Encoding of the frames between daemons.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -10,13 +10,13 @@
 /// Largest frame after it.
 pub(super) const MAXIMUM_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// Bytes that are not a message.
+/// Why bytes are not a message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The contents are malformed.
     #[error("malformed frame: {cause}")]
     Malformed {
-        /// What the codec library says.
+        /// Error of the codec library.
         cause: String,
     },
     /// Bytes remain after the message.
@@ -27,7 +27,7 @@
     },
 }
 
-/// Contents of a frame.
+/// Encodes a message as the contents of a frame.
 pub fn encode_message<T: Serialize>(message: &T) -> Result<Bytes, FrameError> {
     let encoded = postcard::to_stdvec(message).map(Bytes::from);
     encoded.map_err(|cause| FrameError::Malformed {
@@ -35,10 +35,10 @@
     })
 }
 
-/// The message in the contents of a frame.
+/// Decodes the message in the contents of a frame.
 pub fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
-    let taken = postcard::take_from_bytes(bytes);
-    let (message, rest) = taken.map_err(|cause| FrameError::Malformed {
+    let decoded = postcard::take_from_bytes(bytes);
+    let (message, rest) = decoded.map_err(|cause| FrameError::Malformed {
         cause: cause.to_string(),
     })?;
     if rest.is_empty() {
--- a/crates/tansylead-daemon/src/peers/link.rs
+++ b/crates/tansylead-daemon/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer, from the side that connected.
+//! Client side of one connection to a peer.
 
 use super::codec::{MAXIMUM_FRAME_BYTES, decode_message, encode_message, hello_codec};
 use super::message::{
@@ -23,10 +23,10 @@
 type FrameSink = SplitSink<FramedStream, bytes::Bytes>;
 type FrameSource = SplitStream<FramedStream>;
 
-/// A link whose peer is silent this long ends; the next call opens another.
-pub(super) const LINK_SILENCE: Duration = Duration::from_secs(2);
+/// A link ends when its peer has been silent for this long; the next call opens another.
+pub(super) const LINK_SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// How a call on a link ended without a response.
+/// Why a call on a link got no response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// The frame was never handed to a connection.
@@ -37,7 +37,7 @@
     MaybeReceived(StepError),
 }
 
-/// What is asked of the task of a link.
+/// Command to the task of a link.
 #[derive(Debug)]
 pub(super) enum LinkCommand {
     /// Send a request.
@@ -48,8 +48,8 @@
     Notify(Box<PeerNotice>),
 }
 
-/// Time kept back from a query's deadline for the way to the root and back. Never more than half
-/// of what is left.
+/// Time subtracted from a query's deadline for the round trip to the root. Never more than half of
+/// the time left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ForwardAllowance(pub Duration);
 
@@ -64,9 +64,9 @@
 pub(super) struct Call {
     pub(super) number: RequestNumber,
     pub(super) request: PeerRequest,
-    /// Not sent any more after this.
+    /// The request is not sent after this.
     pub(super) deadline: Moment,
-    /// Kept back from the time left that the peer is told.
+    /// Subtracted from the time left that is sent to the peer.
     pub(super) allowance: ForwardAllowance,
     pub(super) reply: oneshot::Sender<Result<PeerResponse, CallError>>,
 }
@@ -80,8 +80,8 @@
     pub(super) idle: Duration,
 }
 
-/// Connects and serves commands until the connection fails or has been idle for long. Commands
-/// that were not sent are refused as such.
+/// Connects and serves commands until the connection fails or has been idle for long. Calls that
+/// were not sent fail as not sent.
 pub(super) async fn run_link(
     peer: NodeId,
     hello: Arc<Hello>,
@@ -101,11 +101,11 @@
         Ok(stream) => serve(peer, stream, &limits, &mut commands, &traffic).await,
         Err(error) => error,
     };
-    refuse_waiting(&mut commands, &error);
+    fail_unsent_calls(&mut commands, &error);
 }
 
-/// Refuses what was never sent, including what arrives until the last sender sees the closure.
-fn refuse_waiting(commands: &mut mpsc::Receiver<LinkCommand>, error: &StepError) {
+/// Fails the calls that were never sent, including those queued before the channel was closed.
+fn fail_unsent_calls(commands: &mut mpsc::Receiver<LinkCommand>, error: &StepError) {
     commands.close();
     while let Ok(command) = commands.try_recv() {
         if let LinkCommand::Call(call) = command {
@@ -123,7 +123,7 @@
     stream
         .set_nodelay(true)
         .map_err(|cause| failed(cause.to_string()))?;
-    end_after_silence(&stream, LINK_SILENCE);
+    end_after_silence(&stream, LINK_SILENCE_LIMIT);
     let mut framed = Framed::new(stream, hello_codec());
     let bytes = encode_message(hello).map_err(|cause| failed(cause.to_string()))?;
     framed
@@ -182,8 +182,8 @@
         match decode_message::<ServerFrame>(&bytes) {
             Err(cause) => return StepError::new(STEP, peer, cause),
             Ok(frame) => {
-                traffic.received(is_answer(&frame.response), bytes.len());
-                // An unknown number is the response to a cancelled request.
+                traffic.count_received(is_answer(&frame.response), bytes.len());
+                // An unknown number belongs to a response to a cancelled request.
                 if let Some(reply) = pending.lock().remove(&frame.number) {
                     let _ = reply.send(Ok(frame.response));
                 }
@@ -223,8 +223,8 @@
     }
 }
 
-/// Hands one command to the connection. A request counts as possibly received from the moment its
-/// bytes are handed over.
+/// Hands one command to the connection. From the moment its bytes are handed over, a request counts
+/// as possibly received.
 async fn feed(
     sink: &mut FrameSink,
     command: LinkCommand,
@@ -232,7 +232,7 @@
     traffic: &TrafficCounters,
 ) -> Result<(), std::io::Error> {
     let frame = match command {
-        LinkCommand::Call(call) => match prepare(*call, pending) {
+        LinkCommand::Call(call) => match request_frame(*call, pending) {
             Some(frame) => frame,
             None => return Ok(()),
         },
@@ -245,13 +245,14 @@
         LinkCommand::Notify(notice) => ClientFrame::Notice(notice),
     };
     let bytes = encode_message(&frame).map_err(std::io::Error::other)?;
-    traffic.sent(is_query(&frame), bytes.len());
+    traffic.count_sent(is_query(&frame), bytes.len());
     sink.feed(bytes).await
 }
 
-/// The frame of a call that is still wanted and in time. Last act before it is handed over: a
-/// process paused until now must not send it.
-fn prepare(call: Call, pending: &Pending) -> Option<ClientFrame> {
+/// The frame of a call whose response is still awaited and whose deadline has not passed. Checks
+/// the time last, right before the frame is handed over: a process that was paused until now must
+/// not send it.
+fn request_frame(call: Call, pending: &Pending) -> Option<ClientFrame> {
     if call.reply.is_closed() {
         return None;
     }
--- a/crates/tansylead-daemon/src/peers/message.rs
+++ b/crates/tansylead-daemon/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! What daemons say to one another over TCP.
+//! Messages between daemons over TCP.
 
 use crate::claims::KeyOutcome;
 use serde::{Deserialize, Serialize};
@@ -13,9 +13,9 @@
 /// First frame on a connection, from the side that connected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Version the sender speaks.
+    /// Protocol version of the sender.
     pub protocol_version: u16,
-    /// Cluster the sender belongs to.
+    /// Cluster of the sender.
     pub cluster: String,
     /// The sender.
     pub from: InstanceId,
@@ -26,12 +26,12 @@
 pub enum HelloReply {
     /// Requests may follow.
     Accepted {
-        /// Who accepted.
+        /// The daemon that accepted.
         by: InstanceId,
     },
     /// The connection will be closed.
     Refused {
-        /// Why, for people.
+        /// Reason, for people.
         reason: String,
     },
 }
@@ -47,7 +47,7 @@
     Request {
         /// Its number.
         number: RequestNumber,
-        /// What is asked.
+        /// The request.
         request: Box<PeerRequest>,
     },
     /// The response is no longer wanted.
@@ -55,7 +55,7 @@
         /// The request's number.
         number: RequestNumber,
     },
-    /// Something that has no response and whose loss is harmless.
+    /// A message that has no response and whose loss is harmless.
     Notice(Box<PeerNotice>),
 }
 
@@ -68,23 +68,23 @@
     pub response: PeerResponse,
 }
 
-/// What is asked of a peer.
+/// Request to a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Execute a whole query as root.
     Query(ForwardedQuery),
-    /// Everything of the configuration after a revision; 0 for all of it.
+    /// Get the configuration objects after a revision; 0 for all of them.
     PullConfiguration {
         /// The revision.
         after: u64,
     },
     /// A request to the peer's claim member.
     Claim(Box<ClaimRequest>),
-    /// What became of a key that the peer holds as root.
+    /// Get the outcome of a key that the peer holds as root.
     KeyOutcome {
         /// The key.
         key: ClaimKey,
-        /// The claim that is asked about.
+        /// The claim in question.
         holder: ClaimHolder,
     },
 }
@@ -98,22 +98,22 @@
     pub request: QueryRequest,
 }
 
-/// What a peer answers.
+/// Response of a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The query is over.
+    /// The query has ended.
     Answer(Box<ForwardedAnswer>),
     /// The peer is not a root of that service and place; nothing ran.
     NotRoot,
-    /// The peer has too much to do; nothing ran.
+    /// The peer is overloaded; nothing ran.
     Busy,
     /// The root ended without an answer; the query may have run.
     RootLost,
-    /// The configuration asked for.
+    /// The requested configuration objects.
     Configuration(ObjectList),
     /// The claim member's response.
     Claim(Box<ClaimResponse>),
-    /// What became of the key.
+    /// The outcome of the key.
     KeyOutcome(KeyOutcome),
 }
 
@@ -122,16 +122,16 @@
 pub struct ForwardedAnswer {
     /// The answer.
     pub answer: QueryAnswer,
-    /// What the root could still take; none if the root itself was not asked.
+    /// Room of the root; `None` if the root itself was not asked.
     pub report: Option<RootReport>,
 }
 
-/// Something that has no response.
+/// A message that has no response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerNotice {
     /// Between the roots of one service in one place, about shares of the limit.
     Share(ShareNotice),
-    /// A leaf is said to be leaving.
+    /// A leaf is reported as leaving.
     LeafLeaving(LeafLeavingNotice),
 }
 
@@ -146,7 +146,7 @@
     pub message: ShareMessage,
 }
 
-/// A leaf is said to be leaving.
+/// A leaf is reported as leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafLeavingNotice {
     /// Service.
--- a/crates/tansylead-daemon/src/peers/server.rs
+++ b/crates/tansylead-daemon/src/peers/server.rs
@@ -1,7 +1,7 @@
 //! Answers the requests of peers.
 
 use super::codec::{MAXIMUM_FRAME_BYTES, decode_message, encode_message, hello_codec};
-use super::link::LINK_SILENCE;
+use super::link::LINK_SILENCE_LIMIT;
 use super::message::{
     ClientFrame, Hello, HelloReply, PEER_PROTOCOL_VERSION, PeerNotice, PeerRequest, PeerResponse,
     RequestNumber, ServerFrame,
@@ -21,20 +21,20 @@
 
 type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Pause after a failed accept (for example: no file descriptors left).
+/// Delay after a failed accept (for example: no file descriptors left).
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What the daemon does with requests of peers.
+/// Handles the requests and notices of peers.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Answers a request. The future is dropped if the peer cancels it or is gone.
+    /// Answers a request. The future is dropped if the peer cancels the request or disconnects.
     fn handle(
         &self,
         from: InstanceId,
         request: PeerRequest,
     ) -> impl Future<Output = PeerResponse> + Send;
 
-    /// Takes a notice.
-    fn notice(&self, from: InstanceId, notice: PeerNotice);
+    /// Handles a notice.
+    fn handle_notice(&self, from: InstanceId, notice: PeerNotice);
 }
 
 /// Limits of the server.
@@ -42,7 +42,7 @@
 pub struct PeerServerLimits {
     /// Time a peer may take for the handshake.
     pub handshake: Duration,
-    /// Requests in progress on one connection; more are answered as busy.
+    /// Maximum number of requests in progress on one connection; more are answered as busy.
     pub in_progress: usize,
 }
 
@@ -97,7 +97,7 @@
                     }
                     Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 },
-                // Failures of one peer's connection concern that peer alone.
+                // Failures of one peer's connection affect that peer only.
                 Some(_) = connections.join_next() => {}
             }
         }
@@ -112,10 +112,10 @@
     traffic: TrafficCounters,
 ) {
     let _ = stream.set_nodelay(true);
-    end_after_silence(&stream, LINK_SILENCE);
+    end_after_silence(&stream, LINK_SILENCE_LIMIT);
     let framed = Framed::new(stream, hello_codec());
-    let greeting = tokio::time::timeout(limits.handshake, greet(framed, &local));
-    let Ok(Ok((from, framed))) = greeting.await else {
+    let accepting = tokio::time::timeout(limits.handshake, handshake(framed, &local));
+    let Ok(Ok((from, framed))) = accepting.await else {
         return;
     };
     let (sink, source) = framed.split();
@@ -135,11 +135,11 @@
     }
 }
 
-async fn greet(
+async fn handshake(
     mut framed: FramedStream,
     local: &Hello,
 ) -> Result<(InstanceId, FramedStream), StepError> {
-    const STEP: &str = "greet peer";
+    const STEP: &str = "handshake with peer";
     let failed = |cause: String| StepError::new(STEP, "incoming connection", cause);
     let bytes = framed
         .next()
@@ -147,7 +147,7 @@
         .ok_or_else(|| failed("closed".to_owned()))?
         .map_err(|cause| failed(cause.to_string()))?;
     let hello: Hello = decode_message(&bytes).map_err(|cause| failed(cause.to_string()))?;
-    let refusal = refusal_of(&hello, local);
+    let refusal = refusal_reason(&hello, local);
     let reply = match &refusal {
         Some(reason) => HelloReply::Refused {
             reason: reason.clone(),
@@ -168,7 +168,7 @@
     }
 }
 
-fn refusal_of(hello: &Hello, local: &Hello) -> Option<String> {
+fn refusal_reason(hello: &Hello, local: &Hello) -> Option<String> {
     if hello.protocol_version != PEER_PROTOCOL_VERSION {
         let (theirs, ours) = (hello.protocol_version, PEER_PROTOCOL_VERSION);
         return Some(format!("protocol version {theirs}, expected {ours}"));
@@ -193,7 +193,7 @@
             let Ok(bytes) = encode_message(&frame) else {
                 return;
             };
-            traffic.sent(is_answer(&frame.response), bytes.len());
+            traffic.count_sent(is_answer(&frame.response), bytes.len());
             if sink.feed(bytes).await.is_err() {
                 return;
             }
@@ -227,7 +227,7 @@
                     let Ok(frame) = decode_message(&bytes) else {
                         return;
                     };
-                    self.traffic.received(is_query(&frame), bytes.len());
+                    self.traffic.count_received(is_query(&frame), bytes.len());
                     self.on_frame(frame);
                 }
                 Some(ended) = self.tasks.join_next() => {
@@ -247,7 +247,7 @@
                     task.abort();
                 }
             }
-            ClientFrame::Notice(notice) => self.handler.notice(self.from, *notice),
+            ClientFrame::Notice(notice) => self.handler.handle_notice(self.from, *notice),
         }
     }
 
--- a/crates/tansylead-daemon/src/peers/traffic.rs
+++ b/crates/tansylead-daemon/src/peers/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes between daemons, those of queries apart from those of control.
+//! Counts the bytes between daemons, those of queries separately from those of control messages.
 
 use super::message::{ClientFrame, PeerRequest, PeerResponse};
 use crate::metrics::Metrics;
@@ -29,7 +29,7 @@
         }
     }
 
-    pub(super) fn sent(&self, is_query: bool, bytes: usize) {
+    pub(super) fn count_sent(&self, is_query: bool, bytes: usize) {
         let counter = if is_query {
             &self.query_out
         } else {
@@ -38,7 +38,7 @@
         counter.inc_by(bytes as u64);
     }
 
-    pub(super) fn received(&self, is_query: bool, bytes: usize) {
+    pub(super) fn count_received(&self, is_query: bool, bytes: usize) {
         let counter = if is_query {
             &self.query_in
         } else {
--- a/crates/tansylead-daemon/tests/peers.rs
+++ b/crates/tansylead-daemon/tests/peers.rs
@@ -53,7 +53,7 @@
         })
     }
 
-    fn notice(&self, _from: InstanceId, _notice: PeerNotice) {}
+    fn handle_notice(&self, _from: InstanceId, _notice: PeerNotice) {}
 }
 
 fn hello(cluster: &str, address: SocketAddr) -> Hello {
