--- a/crates/tansylead-daemon/src/claims/execution.rs
+++ b/crates/tansylead-daemon/src/claims/execution.rs
@@ -73,7 +73,7 @@
     {
         let permit = match self.request_permission().await {
             Permission::Answer(answer) => {
-                self.count("refused");
+                self.count_result("refused");
                 return *answer;
             }
             Permission::Dispatch(permit) => permit,
@@ -86,7 +86,7 @@
             self.abandon(&permit);
             return self.not_run_answer(refusal.to_string(), None);
         }
-        self.count("dispatched");
+        self.count_result("dispatched");
         let answer = match dispatch().await {
             Some(answer) => answer,
             None => self.unknown_answer("the root ended without an answer".to_owned(), None),
@@ -119,7 +119,7 @@
                 let answer = self.not_run_answer(reason, Some(RETRY_AFTER_IN_PROGRESS));
                 Permission::Answer(Box::new(answer))
             }
-            BeginOutcome::Claim(claim) => self.claim(claim).await,
+            BeginOutcome::Claim(claim) => self.acquire_claim(claim).await,
         }
     }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    async fn claim(&self, claim: ClaimId) -> Permission {
+    async fn acquire_claim(&self, claim: ClaimId) -> Permission {
         let Some(view) = self.claims.view() else {
             self.claims.answers.lock().mark_not_run(&self.key, claim);
             let reason = "there are no claim members yet".to_owned();
@@ -208,7 +208,7 @@
         release(&self.claims, &view, &permit.grant);
     }
 
-    fn count(&self, result: &str) {
+    fn count_result(&self, result: &str) {
         let counter = &self.claims.parts.metrics.claimed_requests;
         counter.with_label_values(&[result]).inc();
     }
--- a/crates/tansylead-daemon/src/claims/planner_task.rs
+++ b/crates/tansylead-daemon/src/claims/planner_task.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// What the members of a view answered.
+/// Status reports of the members of a view.
 #[derive(Debug, Default)]
 struct MemberReports {
     statuses: BTreeMap<InstanceId, ClaimMemberStatus>,
--- a/crates/tansylead-daemon/src/cluster/driver/mod.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/mod.rs
@@ -37,7 +37,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
-/// Who this daemon is, for the cluster task.
+/// Identity of this daemon for the cluster task.
 #[derive(Debug, Clone)]
 pub struct ClusterIdentity {
     /// The run of the daemon.
--- a/crates/tansylead-daemon/src/daemon.rs
+++ b/crates/tansylead-daemon/src/daemon.rs
@@ -52,7 +52,7 @@
 }
 
 impl Daemon {
-    /// Binds the addresses and starts everything.
+    /// Binds the addresses and starts all tasks.
     pub async fn start(settings: Settings, tuning: Tuning) -> eyre::Result<Self> {
         let drain_limit = Duration::from_millis(settings.timing.drain_limit_millis);
         let handover_limit = tuning.claim_handover_limit;
--- a/crates/tansylead-daemon/src/leaf/attempt.rs
+++ b/crates/tansylead-daemon/src/leaf/attempt.rs
@@ -87,7 +87,7 @@
     let exchange = connection.exchange(request, target.maximum_answer_bytes);
     match tokio::time::timeout(time_left, exchange).await {
         Ok(Ok(reply)) => {
-            let result = interpret(&context, &attempt, &reply);
+            let result = interpret_reply(&context, &attempt, &reply);
             let connection = is_connection_reusable(&result, &attempt).then_some(connection);
             AttemptEnd { result, connection }
         }
@@ -195,7 +195,7 @@
 
 /// Converts a complete reply into a result. Anything but a valid answer to or a valid refusal of
 /// this very attempt counts as failed: the leaf may have run it.
-fn interpret(context: &QueryContext, attempt: &SendAttempt, reply: &Reply) -> AttemptResult {
+fn interpret_reply(context: &QueryContext, attempt: &SendAttempt, reply: &Reply) -> AttemptResult {
     match reply.status {
         StatusCode::OK => match serde_json::from_slice::<LeafAnswer>(&reply.body) {
             Ok(answer) if answer.root == context.root && is_json(&answer.result) => {
--- a/crates/tansylead-daemon/src/peer_service.rs
+++ b/crates/tansylead-daemon/src/peer_service.rs
@@ -29,7 +29,7 @@
 }
 
 impl PeerHandler for PeerService {
-    async fn handle(&self, _from: InstanceId, request: PeerRequest) -> PeerResponse {
+    async fn handle_request(&self, _from: InstanceId, request: PeerRequest) -> PeerResponse {
         match request {
             PeerRequest::Query(query) => self.query(query).await,
             PeerRequest::PullConfiguration { after } => match self.cluster.pull(after).await {
--- a/crates/tansylead-daemon/src/peers/message.rs
+++ b/crates/tansylead-daemon/src/peers/message.rs
@@ -101,7 +101,7 @@
 /// Response of a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The query has ended.
+    /// The query has ended with this answer.
     Answer(Box<ForwardedAnswer>),
     /// The peer is not a root of that service and place; nothing ran.
     NotRoot,
--- a/crates/tansylead-daemon/src/peers/server.rs
+++ b/crates/tansylead-daemon/src/peers/server.rs
@@ -27,7 +27,7 @@
 /// Handles the requests and notices of peers.
 pub trait PeerHandler: Send + Sync + 'static {
     /// Answers a request. The future is dropped if the peer cancels the request or disconnects.
-    fn handle(
+    fn handle_request(
         &self,
         from: InstanceId,
         request: PeerRequest,
@@ -261,7 +261,7 @@
         let handler = Arc::clone(&self.handler);
         let from = self.from;
         let task = self.tasks.spawn(async move {
-            let response = handler.handle(from, request).await;
+            let response = handler.handle_request(from, request).await;
             let _ = responses.send(ServerFrame { number, response });
             number
         });
--- a/crates/tansylead-daemon/tests/peers.rs
+++ b/crates/tansylead-daemon/tests/peers.rs
@@ -36,7 +36,7 @@
 }
 
 impl PeerHandler for Handler {
-    async fn handle(&self, _from: InstanceId, request: PeerRequest) -> PeerResponse {
+    async fn handle_request(&self, _from: InstanceId, request: PeerRequest) -> PeerResponse {
         let PeerRequest::PullConfiguration { after } = request else {
             return PeerResponse::Busy;
         };
