--- a/crates/tansylead-daemon/src/frontend.rs
+++ b/crates/tansylead-daemon/src/frontend.rs
@@ -3,7 +3,7 @@
 //! A query that provably ran nowhere is sent to the next root, up to a few times. One that may have
 //! run is sent to another root only if it is repeatable, and at most once.
 
-use crate::answers::not_run_answer;
+use crate::answers::not_run;
 use crate::clock::Clock;
 use crate::configuration::PlacementKey;
 use crate::metrics::Metrics;
@@ -124,7 +124,7 @@
         }
         let refusal = last_refusal.unwrap_or_else(|| {
             let reason = "no root could be reached".to_owned();
-            not_run_answer(request.request.clone(), reason, self.retry_after())
+            not_run(request.request.clone(), reason, self.retry_after())
         });
         mark_earlier_run(refusal, may_have_run)
     }
@@ -144,7 +144,7 @@
                         root: routes.own_node(),
                     });
                 }
-                let refusal = not_run_answer(request.request.clone(), reason, retry_after);
+                let refusal = not_run(request.request.clone(), reason, retry_after);
                 Err(Box::new(refusal))
             }
         }
--- a/crates/tansylead-daemon/src/root_service.rs
+++ b/crates/tansylead-daemon/src/root_service.rs
@@ -1,6 +1,6 @@
 //! Executes a query at this daemon's own root, for its own callers and for other frontends.
 
-use crate::answers::not_run_answer;
+use crate::answers::not_run;
 use crate::claims::{ClaimedExecution, Claims};
 use crate::clock::Clock;
 use crate::configuration::PlacementKey;
@@ -121,11 +121,9 @@
                 Some(answered.answer)
             }
             Err(RootError::Lost) => None,
-            Err(error @ (RootError::NotRoot | RootError::Busy)) => Some(not_run_answer(
-                request_id,
-                error.to_string(),
-                BUSY_RETRY_AFTER,
-            )),
+            Err(error @ (RootError::NotRoot | RootError::Busy)) => {
+                Some(not_run(request_id, error.to_string(), BUSY_RETRY_AFTER))
+            }
         }
     };
     let answer = execution.run(dispatch).await;
