--- a/crates/tansylead-daemon/src/claims/execution.rs
+++ b/crates/tansylead-daemon/src/claims/execution.rs
@@ -1,5 +1,5 @@
-//! Executes a non-repeatable request as root: at most one dispatch for a key, and for repetitions
-//! the answer that is held, or the truth about what is not known.
+//! Executes a non-repeatable request as root, with at most one dispatch for a key. Repetitions get
+//! the answer that is held, or one that says what is not known.
 
 use super::acquire::{acquire, release};
 use super::service::{Claims, KeyOutcome};
@@ -12,14 +12,14 @@
 };
 use tansylead_types::{ClaimView, Moment, Outcome, QueryAnswer, RequestId, ServiceName, WallTime};
 
-/// Told to callers when to look again for the answer to a request in progress.
+/// Retry time given to callers that repeat a request in progress.
 const RETRY_AFTER_IN_PROGRESS: Duration = Duration::from_secs(1);
-/// Told to callers when there are no claim members yet.
+/// Retry time given to callers when there are no claim members yet.
 const RETRY_AFTER_WITHOUT_VIEW: Duration = Duration::from_secs(2);
 /// Time allowed for asking the holder of a key.
 const HOLDER_LIMIT: Duration = Duration::from_millis(500);
 
-/// A non-repeatable request on its way to the one dispatch.
+/// Execution of a non-repeatable request, up to its only dispatch.
 #[derive(Debug, Clone)]
 pub struct ClaimedExecution {
     claims: Arc<Claims>,
@@ -65,31 +65,31 @@
         }
     }
 
-    /// Runs `dispatch` if the key may be dispatched, and remembers its answer. `dispatch` gives
-    /// none if the request may have run without an answer.
+    /// Runs `dispatch` if the key may be dispatched, and keeps its answer. `dispatch` returns
+    /// `None` if the request may have run without an answer.
     pub async fn run<F>(self, dispatch: impl FnOnce() -> F) -> QueryAnswer
     where
         F: Future<Output = Option<QueryAnswer>>,
     {
-        let permit = match self.permission().await {
+        let permit = match self.request_permission().await {
             Permission::Answer(answer) => {
-                self.count("refused");
+                self.count_result("refused");
                 return *answer;
             }
             Permission::Dispatch(permit) => permit,
         };
-        // A process paused since the grant is stopped here; later pauses by the check right before
-        // the bytes leave, and by the leaf.
+        // This check stops a process that was paused since the grant; later pauses are caught by
+        // the check right before the bytes are sent, and by the leaf.
         if let Err(refusal) =
             check_before_dispatch(self.expires, Clock.wall(), self.claims.settings())
         {
             self.abandon(&permit);
-            return self.not_run(refusal.to_string(), None);
+            return self.not_run_answer(refusal.to_string(), None);
         }
-        self.count("dispatched");
+        self.count_result("dispatched");
         let answer = match dispatch().await {
             Some(answer) => answer,
-            None => self.unknown("the root ended without an answer".to_owned(), None),
+            None => self.unknown_answer("the root ended without an answer".to_owned(), None),
         };
         if answer.outcome == Outcome::NotRun {
             self.abandon(&permit);
@@ -100,12 +100,12 @@
         answer
     }
 
-    async fn permission(&self) -> Permission {
+    async fn request_permission(&self) -> Permission {
         let wall = Clock.wall();
         if let Err(refusal) = check_before_dispatch(self.expires, wall, self.claims.settings()) {
             // An earlier request with the key may have run.
             let reason = format!("not run now: {refusal}");
-            return Permission::Answer(Box::new(self.unknown(reason, None)));
+            return Permission::Answer(Box::new(self.unknown_answer(reason, None)));
         }
         let begin = self
             .claims
@@ -113,32 +113,32 @@
             .lock()
             .begin(&self.key, self.expires, wall);
         match begin {
-            BeginOutcome::Known(status) => Permission::Answer(Box::new(self.known(status))),
+            BeginOutcome::Known(status) => Permission::Answer(Box::new(self.known_answer(status))),
             BeginOutcome::Full => {
                 let reason = "too many keys are in use".to_owned();
-                let answer = self.not_run(reason, Some(RETRY_AFTER_IN_PROGRESS));
+                let answer = self.not_run_answer(reason, Some(RETRY_AFTER_IN_PROGRESS));
                 Permission::Answer(Box::new(answer))
             }
-            BeginOutcome::Claim(claim) => self.claim(claim).await,
+            BeginOutcome::Claim(claim) => self.acquire_claim(claim).await,
         }
     }
 
-    fn known(&self, status: AnswerStatus) -> QueryAnswer {
+    fn known_answer(&self, status: AnswerStatus) -> QueryAnswer {
         match status {
-            AnswerStatus::Finished(answer) => self.repeated(*answer),
-            AnswerStatus::InProgress => self.in_progress(),
+            AnswerStatus::Finished(answer) => self.repeated_answer(*answer),
+            AnswerStatus::InProgress => self.in_progress_answer(),
             AnswerStatus::NotRun { .. } | AnswerStatus::Unknown => {
                 let reason = "a request with this key may have run; its answer is not held";
-                self.unknown(reason.to_owned(), None)
+                self.unknown_answer(reason.to_owned(), None)
             }
         }
     }
 
-    async fn claim(&self, claim: ClaimId) -> Permission {
+    async fn acquire_claim(&self, claim: ClaimId) -> Permission {
         let Some(view) = self.claims.view() else {
             self.claims.answers.lock().mark_not_run(&self.key, claim);
             let reason = "there are no claim members yet".to_owned();
-            let answer = self.not_run(reason, Some(RETRY_AFTER_WITHOUT_VIEW));
+            let answer = self.not_run_answer(reason, Some(RETRY_AFTER_WITHOUT_VIEW));
             return Permission::Answer(Box::new(answer));
         };
         let terms = ClaimTerms {
@@ -155,7 +155,7 @@
             }
             ClaimDecision::HeldBy { holders } => {
                 self.claims.answers.lock().mark_not_run(&self.key, claim);
-                self.answer_of_holders(&holders).await
+                self.answer_from_holders(&holders).await
             }
             ClaimDecision::Refused {
                 reason,
@@ -164,20 +164,20 @@
             } => {
                 self.claims.answers.lock().mark_not_run(&self.key, claim);
                 let reason = format!("no majority of claim members: {reason:?}");
-                self.not_run(reason, Some(retry_after))
+                self.not_run_answer(reason, Some(retry_after))
             }
         };
         Permission::Answer(Box::new(answer))
     }
 
-    /// What the holders of the key say became of it.
-    async fn answer_of_holders(&self, holders: &[ClaimHolder]) -> QueryAnswer {
+    /// The answer that follows from what the holders of the key report.
+    async fn answer_from_holders(&self, holders: &[ClaimHolder]) -> QueryAnswer {
         let mut in_progress = false;
         let mut never_ran = true;
         for holder in holders {
             let limit = HOLDER_LIMIT.min(Clock.time_left(self.deadline));
-            match self.claims.ask_holder(&self.key, *holder, limit).await {
-                KeyOutcome::Finished(answer) => return self.repeated(*answer),
+            match self.claims.request_outcome(&self.key, *holder, limit).await {
+                KeyOutcome::Finished(answer) => return self.repeated_answer(*answer),
                 KeyOutcome::InProgress => in_progress = true,
                 KeyOutcome::NotRun => continue,
                 KeyOutcome::Unknown => {}
@@ -185,17 +185,17 @@
             never_ran = false;
         }
         if in_progress {
-            return self.in_progress();
+            return self.in_progress_answer();
         }
         if never_ran {
             let reason = "a claim of this key has just been given up".to_owned();
-            return self.not_run(reason, Some(RETRY_AFTER_IN_PROGRESS));
+            return self.not_run_answer(reason, Some(RETRY_AFTER_IN_PROGRESS));
         }
         let reason = "a request with this key may have run; its root does not know".to_owned();
-        self.unknown(reason, None)
+        self.unknown_answer(reason, None)
     }
 
-    /// Nothing was or will be dispatched under the permit.
+    /// Gives up a permit under which nothing was or will be dispatched.
     fn abandon(&self, permit: &Permit) {
         self.claims
             .answers
@@ -208,29 +208,29 @@
         release(&self.claims, &view, &permit.grant);
     }
 
-    fn count(&self, result: &str) {
+    fn count_result(&self, result: &str) {
         let counter = &self.claims.parts.metrics.claimed_requests;
         counter.with_label_values(&[result]).inc();
     }
 
     /// An earlier answer, for this repetition.
-    fn repeated(&self, answer: QueryAnswer) -> QueryAnswer {
+    fn repeated_answer(&self, answer: QueryAnswer) -> QueryAnswer {
         QueryAnswer {
             request: self.request.clone(),
             ..answer
         }
     }
 
-    fn in_progress(&self) -> QueryAnswer {
+    fn in_progress_answer(&self) -> QueryAnswer {
         let reason = "a request with this key is in progress".to_owned();
-        self.unknown(reason, Some(RETRY_AFTER_IN_PROGRESS))
+        self.unknown_answer(reason, Some(RETRY_AFTER_IN_PROGRESS))
     }
 
-    fn unknown(&self, reason: String, retry_after: Option<Duration>) -> QueryAnswer {
+    fn unknown_answer(&self, reason: String, retry_after: Option<Duration>) -> QueryAnswer {
         QueryAnswer::without_results(self.request.clone(), Outcome::Unknown, reason, retry_after)
     }
 
-    fn not_run(&self, reason: String, retry_after: Option<Duration>) -> QueryAnswer {
+    fn not_run_answer(&self, reason: String, retry_after: Option<Duration>) -> QueryAnswer {
         QueryAnswer::without_results(self.request.clone(), Outcome::NotRun, reason, retry_after)
     }
 }
--- a/crates/tansylead-daemon/src/cluster/driver/membership.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/membership.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The members that run, reachable or not.
+    /// The running members, reachable or not.
     pub(super) fn running_members(&self) -> Vec<MemberRecord> {
         let members = self.parts.membership.members();
         members
--- a/crates/tansylead-daemon/src/http/router.rs
+++ b/crates/tansylead-daemon/src/http/router.rs
@@ -1,8 +1,8 @@
-//! Takes a request to what answers it.
+//! Routes HTTP requests to their handlers.
 
 use super::answer::{self, outcome_label};
 use super::error::ApiError;
-use super::in_force::{InForceQuery, answer_of};
+use super::in_force::{InForceQuery, report_answer};
 use super::query_request::{QueryHeaders, read_body};
 use crate::clock::Clock;
 use crate::frontend::Frontend;
@@ -22,7 +22,8 @@
 
 const QUERY_PATH_PREFIX: &str = "/v1/services/";
 const QUERY_PATH_SUFFIX: &str = "/query";
-/// Told to callers that come long into a planned stop; longer than the quiet that ends the stop.
+/// Retry time given to callers late in a planned stop; longer than the idle time that ends the
+/// stop.
 const RETRY_AFTER_STOPPING: Duration = Duration::from_secs(5);
 
 /// Answers the requests of one daemon's callers.
@@ -35,7 +36,7 @@
 }
 
 impl Router {
-    /// A router for a daemon.
+    /// A router of a daemon.
     pub fn new(state: Arc<DaemonState>, frontend: Frontend, timing: TimingSettings) -> Self {
         Self {
             state,
@@ -91,11 +92,11 @@
         }
         require_method(&request, Method::GET, "GET")?;
         match request.uri().path() {
-            "/healthz" => text(StatusCode::OK, "text/plain", "ok\n".to_owned()),
+            "/healthz" => text_response(StatusCode::OK, "text/plain", "ok\n".to_owned()),
             "/readyz" => self.readiness().await,
             "/metrics" => self.metrics_text(),
             IN_FORCE_PATH => self.in_force(request.uri().query()).await,
-            _ => json(StatusCode::OK, &self.state.status().await),
+            _ => json_response(StatusCode::OK, &self.state.status().await),
         }
     }
 
@@ -105,7 +106,7 @@
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         };
-        json(status, &readiness)
+        json_response(status, &readiness)
     }
 
     /// On which daemons a revision is in force.
@@ -116,14 +117,14 @@
             .cluster()
             .in_force(query.revision, query.wait)
             .await;
-        let report = report.ok_or_else(|| internal("the cluster task has ended"))?;
-        json(StatusCode::OK, &answer_of(query.revision, report))
+        let report = report.ok_or_else(|| internal_error("the cluster task has ended"))?;
+        json_response(StatusCode::OK, &report_answer(query.revision, report))
     }
 
     fn metrics_text(&self) -> Result<Response<Full<Bytes>>, ApiError> {
         self.state.refresh_metrics();
-        let rendered = self.metrics().text().map_err(internal)?;
-        text(StatusCode::OK, "text/plain; version=0.0.4", rendered)
+        let rendered = self.metrics().text().map_err(internal_error)?;
+        text_response(StatusCode::OK, "text/plain; version=0.0.4", rendered)
     }
 
     async fn query(
@@ -143,9 +144,9 @@
         let deadline = arrived + headers.time_left();
         let body = read_body(request.into_body(), &definition).await?;
         let query = headers.into_request(&definition, body);
-        let _in_progress = self.state.query_started();
+        let _in_progress = self.state.count_query();
         let answer = self.frontend.execute(query, deadline).await;
-        self.count(&answer, &definition, arrived);
+        self.count_answer(&answer, &definition, arrived);
         answer::response(answer)
     }
 
@@ -166,7 +167,7 @@
         Err(unknown())
     }
 
-    fn count(&self, answer: &QueryAnswer, definition: &ServiceDefinition, arrived: Moment) {
+    fn count_answer(&self, answer: &QueryAnswer, definition: &ServiceDefinition, arrived: Moment) {
         let service = definition.service.as_str();
         let outcome = outcome_label(answer.outcome);
         let elapsed = self.clock.now().since(arrived).as_secs_f64();
@@ -200,18 +201,21 @@
     })
 }
 
-fn internal(cause: impl std::fmt::Display) -> ApiError {
+fn internal_error(cause: impl std::fmt::Display) -> ApiError {
     ApiError::Internal {
         cause: cause.to_string(),
     }
 }
 
-fn json(status: StatusCode, body: &impl Serialize) -> Result<Response<Full<Bytes>>, ApiError> {
-    let rendered = serde_json::to_string(body).map_err(internal)?;
-    text(status, "application/json", rendered)
+fn json_response(
+    status: StatusCode,
+    body: &impl Serialize,
+) -> Result<Response<Full<Bytes>>, ApiError> {
+    let rendered = serde_json::to_string(body).map_err(internal_error)?;
+    text_response(status, "application/json", rendered)
 }
 
-fn text(
+fn text_response(
     status: StatusCode,
     content_type: &'static str,
     body: String,
@@ -220,5 +224,5 @@
         .status(status)
         .header(CONTENT_TYPE, content_type)
         .body(Full::new(Bytes::from(body)))
-        .map_err(internal)
+        .map_err(internal_error)
 }
--- a/crates/tansylead-daemon/src/platform.rs
+++ b/crates/tansylead-daemon/src/platform.rs
@@ -20,14 +20,14 @@
 
 /// Time allowed for connecting to the platform.
 pub const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-/// Time allowed for one platform request, beyond the time a watch asks to be held.
+/// Time allowed for one platform request, in addition to the time that a watch may be held open.
 pub const REQUEST_LIMIT: Duration = Duration::from_secs(5);
 /// Largest answer accepted from the platform.
 pub const MAXIMUM_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 /// Idle connections to the platform are closed after this time.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
 
-/// What the store did with a write.
+/// How the store answered a write.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteOutcome {
     /// The object now has the written contents.
@@ -74,7 +74,8 @@
             .await
     }
 
-    /// Like [`StoreClient::list`], held by the store until there is something or `wait` passes.
+    /// Like [`StoreClient::list`], held open by the store until there is a newer object or `wait`
+    /// has passed.
     pub async fn watch(&self, after: u64, wait: Duration) -> Result<ObjectList, StepError> {
         let wait_millis = wait.as_millis();
         let path = format!("{STORE_WATCH_PATH}?after={after}&wait_ms={wait_millis}");
@@ -83,7 +84,7 @@
             .await
     }
 
-    /// One object; none if it was never written.
+    /// One object; `None` if it was never written.
     pub async fn get(&self, key: &ObjectKey) -> Result<Option<StoredObject>, StepError> {
         const STEP: &str = "read store object";
         let path = object_path(key);
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The list as the platform shows it now. It lags behind the truth.
+    /// The list as the platform reports it now; it lags behind the actual state.
     pub async fn list(&self) -> Result<MachineList, StepError> {
         self.http
             .get("read machine list", MACHINES_PATH, REQUEST_LIMIT)
@@ -161,14 +162,14 @@
     format!("{STORE_OBJECTS_PATH}/{key}")
 }
 
-/// A whole HTTP reply.
+/// A complete HTTP reply.
 #[derive(Debug)]
 struct HttpReply {
     status: StatusCode,
     body: Bytes,
 }
 
-/// A request without a whole reply.
+/// Why a request got no complete reply.
 #[derive(Debug)]
 enum HttpFailure {
     /// No connection was made, so nothing was sent.
@@ -284,8 +285,11 @@
 
     fn unexpected_status(&self, step: &'static str, reply: &HttpReply) -> StepError {
         let text = String::from_utf8_lossy(&reply.body);
-        let shown: String = text.chars().take(MAXIMUM_SHOWN_CHARACTERS).collect();
-        self.error(step, format!("unexpected status {}: {shown}", reply.status))
+        let quoted: String = text.chars().take(MAXIMUM_QUOTED_CHARACTERS).collect();
+        self.error(
+            step,
+            format!("unexpected status {}: {quoted}", reply.status),
+        )
     }
 
     fn error(&self, step: &'static str, cause: impl std::fmt::Display) -> StepError {
@@ -294,4 +298,4 @@
 }
 
 /// Characters of an unexpected answer that are quoted in the error.
-const MAXIMUM_SHOWN_CHARACTERS: usize = 200;
+const MAXIMUM_QUOTED_CHARACTERS: usize = 200;
