--- a/crates/tansylead-gateway/src/leaf/leaf_availability.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_availability.rs
@@ -116,7 +116,7 @@
 
     /// Sets this daemon's part of the requests of a second that the leaf bears while it is cold; none
     /// if there is no bound.
-    pub(super) fn set_cold_part(&self, part: Option<u32>) {
+    pub(super) fn set_cold_share(&self, part: Option<u32>) {
         let mut limit = self.cold_limit.get();
         limit.set_share(part);
         self.cold_limit.set(limit);
--- a/crates/tansylead-gateway/src/leaf/leaf_state.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_state.rs
@@ -167,8 +167,8 @@
 
     /// Sets this daemon's part of the requests of a second that the leaf bears while it is cold; none
     /// if there is no bound.
-    pub fn set_cold_part(&self, part: Option<u32>) {
-        self.availability.set_cold_part(part);
+    pub fn set_cold_share(&self, part: Option<u32>) {
+        self.availability.set_cold_share(part);
     }
 
     /// Bounds the requests at a time by this daemon's part of the leaf's connections.
--- a/crates/tansylead-gateway/src/leaf/service_state.rs
+++ b/crates/tansylead-gateway/src/leaf/service_state.rs
@@ -25,8 +25,8 @@
     slack_share: Cell<f64>,
     /// Software versions of the leafs, and the order to roll out that stands.
     versions: Rc<ServiceVersions>,
-    /// Count of changes of the sharing daemons up to which parts were computed; none if they must be anew.
-    shared: Cell<Option<u64>>,
+    /// Count of changes of the shares_version daemons up to which parts were computed; none if they must be anew.
+    shares_version: Cell<Option<u64>>,
 }
 
 impl ServiceState {
@@ -44,7 +44,7 @@
             budget: RefCell::new(RetryBudget::new(bounds.retry_budget(), started)),
             slack_share: Cell::new(0.0),
             versions: Rc::new(ServiceVersions::new(roll_outs)),
-            shared: Cell::new(None),
+            shares_version: Cell::new(None),
         }
     }
 
@@ -58,14 +58,14 @@
         &self.versions
     }
 
-    /// Count of changes of the sharing daemons up to which this daemon's parts were computed.
-    pub fn shared(&self) -> Option<u64> {
-        self.shared.get()
+    /// Count of changes of the shares_version daemons up to which this daemon's parts were computed.
+    pub fn shares_version(&self) -> Option<u64> {
+        self.shares_version.get()
     }
 
     /// Notes that the parts are computed up to this change, or must be computed anew.
-    pub fn set_shared(&self, shared: Option<u64>) {
-        self.shared.set(shared);
+    pub fn set_shares_version(&self, version: Option<u64>) {
+        self.shares_version.set(version);
     }
 
     /// Adds a leaf.
--- a/crates/tansylead-gateway/src/state.rs
+++ b/crates/tansylead-gateway/src/state.rs
@@ -1,6 +1,6 @@
-//! What the tasks of one daemon share. One thread: interior mutability, no locks.
+//! State shared by the tasks of one daemon. All run on one thread: interior mutability, no locks.
 //!
-//! Invariants: the configuration's version never goes down, whatever the source says; no borrow is held over a wait.
+//! Invariants: the configuration version never decreases, whatever the source says; no borrow is held across an await.
 
 mod era;
 mod kept_connections;
@@ -30,42 +30,42 @@
 use tansylead_types::{LeafId, Moment, PlaceName, ServiceName};
 use tokio::sync::watch;
 
-/// Requests that arrive in this first time of a daemon's life wait for what is being read.
+/// Requests that arrive this soon after startup wait for the first reads from the source.
 const STARTUP_WAIT: Duration = Duration::from_millis(80);
-/// Daemons that share a leaf's connections as long as they are not known.
+/// Daemons assumed to share a leaf's connections until the real ones are known.
 const ASSUMED_DAEMONS: usize = 8;
 
-/// One version of the configuration with its index.
+/// One version of the configuration, with indexes for lookups.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
     /// The configuration.
     pub configuration: Rc<Configuration>,
-    /// Its routes by host and prefix.
+    /// Routes by host and path prefix.
     pub routes: RouteTable,
     /// The services that are shards of a route.
     pub shards: HashSet<ServiceName>,
 }
 
-/// How far a planned stop has come.
+/// Phase of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
     /// No stop is planned.
     Serving,
-    /// Not ready; answers close their connections.
+    /// Not ready; each answer closes its connection.
     Draining,
     /// Idle connections are closed.
     Closing,
-    /// Everything still open gets its final answer now.
+    /// Open requests get their final answer now.
     Ending,
 }
 
-/// Daemons that share what leafs bear.
+/// Daemons among which the capacity of leafs is divided.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct SharingDaemons {
     counts: DaemonCounts,
-    /// Those that run queries over shards.
+    /// Daemons that run queries over shards.
     runners: QueryRunners,
-    /// Whether this daemon has had the time to learn of the others.
+    /// Whether this daemon has run long enough to have learned of the others.
     are_known: bool,
 }
 
@@ -78,47 +78,47 @@
     pub names: Rc<HeaderNames>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Limits of the lines of single requests.
+    /// Limits on log lines about single requests.
     pub(crate) request_log_limits: RequestLogLimits,
-    /// Reports on leafs that wait to be sent to other daemons.
+    /// Reports on leafs to be sent to other daemons.
     pub(crate) reports: ReportQueue,
-    /// Requests under which leafs end.
+    /// Requests that make leaf processes end.
     pub quarantine: QuarantineState,
     started: Moment,
     locality: Locality,
     active: RefCell<Option<Rc<ActiveConfiguration>>>,
     directory: RefCell<LeafDirectory>,
     source_era: Cell<Option<Era>>,
-    /// Leafs that the source took out lately.
-    departed: RefCell<RemovedLeafs>,
-    /// None until it is known which zones are being emptied.
+    /// Leafs that the source removed recently.
+    removed: RefCell<RemovedLeafs>,
+    /// Zones being emptied; none until they are known.
     evacuated: RefCell<Option<EvacuationOrders>>,
-    /// What is ordered, as the source tells it; none until it is known.
+    /// Roll-out orders as the source reports them; none until they are known.
     roll_outs: RefCell<Option<RollOuts>>,
-    /// The same with what the source has lost: what is acted on.
+    /// Orders to act on: those of the source, with what it has lost.
     current_roll_outs: RefCell<RollOuts>,
     order_memory: RefCell<OrderMemory>,
     roll_out_context: Rc<RollOutContext>,
-    /// Revision up to which the orders must be known for the leafs that are held.
+    /// Revision up to which the orders must be known before the known leafs can be used safely.
     roll_outs_needed: Cell<Revision>,
     services: RefCell<HashMap<ServiceName, Rc<ServiceState>>>,
     leafs: RefCell<HashMap<LeafId, Rc<LeafState>>>,
     latencies: RefCell<HashMap<String, LatencyProfile>>,
-    turns: RefCell<HashMap<String, WeightedRoundRobin>>,
+    round_robins: RefCell<HashMap<String, WeightedRoundRobin>>,
     admissions: RefCell<HashMap<String, QueryAdmission>>,
-    /// Until when each topic was known to be current.
+    /// Moment at which each topic was last known to be current.
     confirmed: RefCell<HashMap<Topic, Moment>>,
     changed: watch::Sender<u64>,
     stop: watch::Sender<StopPhase>,
     /// Daemons that share budgets and connections.
     daemons: RefCell<SharingDaemons>,
-    /// Rises whenever parts of budgets and connections are others than before.
-    sharing: Cell<u64>,
-    /// Daemons that membership knows of.
+    /// Increases whenever shares of budgets and connections change.
+    shares_version: Cell<u64>,
+    /// Daemons known to membership.
     known_daemons: RefCell<DaemonCounts>,
-    /// Those of them that run queries over shards.
+    /// Known daemons that run queries over shards.
     known_runners: RefCell<QueryRunners>,
-    /// Whether anything comes on connections to leafs that were kept.
+    /// Detects that kept connections to leafs have gone silent.
     kept_silence: Cell<ConnectionSilence>,
     connections: Cell<usize>,
     running_for_peers: Cell<usize>,
@@ -128,7 +128,7 @@
 }
 
 impl Gateway {
-    /// State of a daemon that knows nothing yet.
+    /// State of a daemon that has received nothing from the source yet.
     pub fn new(settings: GatewaySettings, names: HeaderNames) -> Self {
         let locality = Locality::new(settings.zone.clone(), settings.regions.clone());
         let assumed = SharingDaemons {
@@ -150,7 +150,7 @@
             active: RefCell::default(),
             directory: RefCell::default(),
             source_era: Cell::default(),
-            departed: RefCell::default(),
+            removed: RefCell::default(),
             evacuated: RefCell::default(),
             roll_outs: RefCell::default(),
             current_roll_outs: RefCell::default(),
@@ -160,13 +160,13 @@
             services: RefCell::default(),
             leafs: RefCell::default(),
             latencies: RefCell::default(),
-            turns: RefCell::default(),
+            round_robins: RefCell::default(),
             admissions: RefCell::default(),
             confirmed: RefCell::default(),
             changed: watch::Sender::new(0),
             stop: watch::Sender::new(StopPhase::Serving),
             daemons: RefCell::new(assumed),
-            sharing: Cell::new(0),
+            shares_version: Cell::new(0),
             known_daemons: RefCell::default(),
             known_runners: RefCell::default(),
             kept_silence: Cell::default(),
@@ -188,7 +188,7 @@
         active.as_ref().map(|active| active.configuration.version)
     }
 
-    /// Takes in a configuration, unless it is older than the one in force.
+    /// Applies a configuration, unless it is not newer than the one in force.
     pub fn apply_configuration(&self, configuration: Configuration) {
         if self
             .version()
@@ -199,17 +199,17 @@
         log::info!(version = configuration.version, routes = configuration.routes.len(); "configuration in force");
         let routes = RouteTable::new(&configuration);
         let shards = configuration.shards().cloned().collect();
-        self.forget_unused_routes(&configuration);
+        self.remove_unused_routes(&configuration);
         *self.active.borrow_mut() = Some(Rc::new(ActiveConfiguration {
             configuration: Rc::new(configuration),
             routes,
             shards,
         }));
-        self.share_all_connections();
+        self.invalidate_shares();
         self.notify();
     }
 
-    /// Notes that what is held of a topic was current at `moment`.
+    /// Records that the data of a topic was current at `moment`.
     pub fn confirm(&self, topic: Topic, moment: Moment) {
         let mut confirmed = self.confirmed.borrow_mut();
         let held = confirmed.entry(topic).or_insert(moment);
@@ -219,17 +219,17 @@
         }
     }
 
-    /// What the versions of all services share.
+    /// Roll-out state shared by all services.
     pub fn roll_out_context(&self) -> &RollOutContext {
         &self.roll_out_context
     }
 
-    /// Tells daemons that poll this one that its word is fresh.
+    /// Notifies daemons that poll this one that its data has been confirmed.
     pub fn announce_confirmation(&self) {
         self.notify();
     }
 
-    /// Time since what is held of a topic was known to be current; none if it never was.
+    /// Time since the data of a topic was last known to be current; none if it never was.
     pub fn age(&self, topic: Topic) -> Option<Duration> {
         let confirmed = self.confirmed.borrow();
         let moment = confirmed.get(&topic)?;
@@ -241,7 +241,7 @@
         Clock.now().since(self.started)
     }
 
-    /// Whether everything is known that the source tells.
+    /// Whether data of every topic has been received.
     pub fn knows_enough(&self) -> bool {
         self.settings
             .bounds
@@ -250,13 +250,13 @@
             .all(|topic| self.knows(*topic))
     }
 
-    /// Whether the word on a topic must not grow old. That on roll-outs may while none is open: a leaf of a
-    /// version that nobody knows is held until the orders have been read.
+    /// Whether the data of a topic must not become stale. Roll-out orders may while none is open: a leaf of an
+    /// unknown version is not used until the orders have been read.
     pub fn must_be_fresh(&self, topic: Topic) -> bool {
         topic != Topic::RollOuts || self.has_open_orders() || !self.knows(topic)
     }
 
-    /// Whether a topic is known, however old the word is.
+    /// Whether data of a topic has been received, however old it is.
     pub fn knows(&self, topic: Topic) -> bool {
         match topic {
             Topic::Configuration => self.active.borrow().is_some(),
@@ -266,8 +266,7 @@
         }
     }
 
-    /// Waits until everything is known that the source tells, but not beyond the first moments of this daemon's life,
-    /// in which they are being read.
+    /// Waits until data of every topic has been received, but no longer than `STARTUP_WAIT` after startup.
     pub async fn wait_until_known(&self) {
         if self.knows_enough() {
             return;
@@ -278,7 +277,7 @@
         let _ = Clock.timeout_at(until, known).await;
     }
 
-    /// Latencies of a route.
+    /// Runs a closure on the latency profile of a route.
     pub fn with_latencies<T>(
         &self,
         route: &str,
@@ -287,17 +286,17 @@
         with_route_state(&self.latencies, route, LatencyProfile::default, use_profile)
     }
 
-    /// Turns among the weighted services of a route.
-    pub fn with_turns<T>(
+    /// Runs a closure on the weighted round robin over the services of a route.
+    pub fn with_round_robin<T>(
         &self,
         route: &str,
-        use_turns: impl FnOnce(&mut WeightedRoundRobin) -> T,
+        use_round_robin: impl FnOnce(&mut WeightedRoundRobin) -> T,
     ) -> T {
         let make = || WeightedRoundRobin::starting_at(rand::random());
-        with_route_state(&self.turns, route, make, use_turns)
+        with_route_state(&self.round_robins, route, make, use_round_robin)
     }
 
-    /// Admission of the queries of a route over shards.
+    /// Runs a closure on the admission control of a route over shards.
     pub fn with_admission<T>(
         &self,
         route: &str,
@@ -316,7 +315,7 @@
         self.daemons.borrow().counts.total()
     }
 
-    /// Sets the daemons known to run.
+    /// Sets the daemons known to be running.
     pub fn set_daemons(&self, daemons: DaemonCounts) {
         *self.known_daemons.borrow_mut() = daemons;
         self.count_daemons();
@@ -328,8 +327,8 @@
         self.count_daemons();
     }
 
-    /// Counts the daemons that share budgets and connections. A daemon that has just started does
-    /// not know the others yet: until then it takes it that there are some.
+    /// Updates the daemons that share budgets and connections. A daemon that has just started does
+    /// not know the others yet: until it does, it assumes `ASSUMED_DAEMONS`.
     pub fn count_daemons(&self) {
         let are_known = self.uptime() >= self.settings.bounds.word_limit();
         let known = self.known_daemons.borrow();
@@ -346,7 +345,7 @@
         };
         if *self.daemons.borrow() != daemons {
             *self.daemons.borrow_mut() = daemons;
-            self.share_all_connections();
+            self.invalidate_shares();
         }
     }
 
@@ -365,7 +364,7 @@
         self.stop.subscribe()
     }
 
-    /// Goes on to a phase of a planned stop.
+    /// Enters a phase of a planned stop.
     pub fn set_stop_phase(&self, phase: StopPhase) {
         log::info!(phase:? = phase; "stop phase");
         self.stop.send_replace(phase);
@@ -376,25 +375,27 @@
         self.locality.own_region()
     }
 
-    /// Queries that run for other daemons.
+    /// Number of queries running for other daemons.
     pub fn running_for_peers(&self) -> &Cell<usize> {
         &self.running_for_peers
     }
 
-    /// How long tasks waited for the processor lately.
+    /// Recent scheduling delay of tasks.
     pub fn processor_lag(&self) -> &Cell<Duration> {
         &self.processor_lag
     }
 
-    /// Callers' connections.
+    /// Number of open caller connections.
     pub fn connections(&self) -> &Cell<usize> {
         &self.connections
     }
 
-    fn forget_unused_routes(&self, configuration: &Configuration) {
+    fn remove_unused_routes(&self, configuration: &Configuration) {
         let is_used = |name: &String| configuration.routes.iter().any(|route| route.name == *name);
         self.latencies.borrow_mut().retain(|name, _| is_used(name));
-        self.turns.borrow_mut().retain(|name, _| is_used(name));
+        self.round_robins
+            .borrow_mut()
+            .retain(|name, _| is_used(name));
         self.admissions.borrow_mut().retain(|name, _| is_used(name));
     }
 
@@ -403,7 +404,7 @@
     }
 }
 
-/// Uses what is known of a route; made if nothing is known yet. The name is copied only then.
+/// Runs a closure on the state of a route, creating it if needed. The name is copied only on creation.
 fn with_route_state<S, T>(
     states: &RefCell<HashMap<String, S>>,
     route: &str,
--- a/crates/tansylead-gateway/src/state/era.rs
+++ b/crates/tansylead-gateway/src/state/era.rs
@@ -1,23 +1,22 @@
-//! Notices that the source has come back from an older copy of itself: what this daemon's word comes from is a
-//! new history.
+//! Detects that the source was restored from an older copy: its data then belongs to a new era (history).
 
 use super::Gateway;
 use tansylead_route::Era;
 
 impl Gateway {
-    /// The newest history of the source that this daemon has heard of; none before the first word.
+    /// The newest era of the source that this daemon knows; none before the first data.
     pub fn source_era(&self) -> Option<Era> {
         self.source_era.get()
     }
 
-    /// Whether a word is from before the source came back from a copy: it arrives late, and says nothing of now.
+    /// Whether data is from before the source was restored: it arrives late and is no longer valid.
     pub fn is_from_earlier_era(&self, era: Era) -> bool {
         self.source_era().is_some_and(|known| era < known)
     }
 
-    /// Notes which history a word is from. When a new one begins, what the daemons themselves had written in the
-    /// lost seconds is brought to the source again.
-    pub(super) fn note_era(&self, era: Era) {
+    /// Records the era of received data. When a new era begins, what the daemons had written to the source in the
+    /// lost seconds is written again.
+    pub(super) fn record_era(&self, era: Era) {
         let known = self.source_era.replace(self.source_era().max(Some(era)));
         let Some(known) = known.filter(|known| *known < era) else {
             return;
--- a/crates/tansylead-gateway/src/state/kept_connections.rs
+++ b/crates/tansylead-gateway/src/state/kept_connections.rs
@@ -1,20 +1,20 @@
-//! What the daemon's state holds of all kept connections together: a network fault can silence them all at
-//! once, while new ones work.
+//! Detects that the kept connections to all leafs have gone silent: a network fault can do this to all of them at
+//! once, while new connections work.
 
 use super::Gateway;
 use tansylead_route::SilenceLimit;
 use tansylead_types::Moment;
 
 impl Gateway {
-    /// Notes an answer of any leaf on a connection that had been kept.
+    /// Records an answer of any leaf on a connection that had been kept.
     pub(crate) fn on_kept_answer(&self, now: Moment) {
         let mut silence = self.kept_silence.get();
         silence.on_answer(now);
         self.kept_silence.set(silence);
     }
 
-    /// Notes that the answer to a request sent at `sent` is overdue on a connection that had been kept.
-    /// Closes all connections at rest if they have most likely gone silent.
+    /// Records that the answer to a request sent at `sent` is overdue on a connection that had been kept.
+    /// Closes all idle connections if they have most likely gone silent.
     pub(crate) fn on_kept_overdue(&self, now: Moment, sent: Moment) {
         let mut silence = self.kept_silence.get();
         let is_lost = silence.on_overdue(now, sent, SilenceLimit::ALL_LEAFS);
--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -1,8 +1,8 @@
-//! What the daemon's state holds of leafs: the directory, the zones that are being emptied, the state
-//! of each leaf that this daemon sends to, and this daemon's part of its connections.
+//! The leaf directory, the zones that are being emptied, the state of each leaf that this daemon sends to, and this
+//! daemon's share of its connections.
 //!
 //! Most daemons of a large fleet send to few of its leafs, and daemons come and go all the time. So the state
-//! of a service's leafs is made when the service is first used, and its parts are computed when it is used
+//! of a service's leafs is created when the service is first used, and its shares are computed when it is used
 //! after the daemons have changed: neither work nor memory grows with daemons times leafs.
 
 use super::Gateway;
@@ -18,20 +18,20 @@
 };
 use tansylead_types::{LeafId, PlaceName, ServiceName};
 
-/// Connections a leaf of an unconfigured service is taken to accept.
+/// Connections that a leaf of an unconfigured service is assumed to accept.
 const DEFAULT_CONNECTIONS: u32 = 16;
-/// Part of a leaf's connections before it is computed.
-const NO_SHARE: ConnectionShare = ConnectionShare {
+/// Share of a leaf's connections before it is computed.
+const INITIAL_SHARE: ConnectionShare = ConnectionShare {
     connections: 1,
     is_reserve: true,
 };
 
 impl Gateway {
-    /// Takes in changes of the leaf directory.
+    /// Applies changes to the leaf directory.
     pub fn apply_directory(&self, delta: DirectoryDelta) {
         let before = self.directory.borrow().revision();
         let is_restored = self.directory.borrow().is_restored_by(&delta);
-        let source_was_away = is_restored || self.is_word_of_leafs_old();
+        let source_was_away = is_restored || self.is_directory_stale();
         let changes = self.directory.borrow_mut().apply(delta);
         log_changes(&changes, source_was_away);
         for change in changes {
@@ -40,17 +40,17 @@
                 DirectoryChange::Gone(leaf) => self.remove_leaf(&leaf, source_was_away),
             };
             if let Some(service) = service {
-                service.set_shared(None);
+                service.set_shares_version(None);
             }
         }
         let revision = self.directory.borrow().revision();
         if let Some(revision) = revision.filter(|_| revision != before) {
-            self.note_era(revision.era);
+            self.record_era(revision.era);
             self.notify();
         }
     }
 
-    /// Reports on leafs to the other daemons of the region.
+    /// Queues reports on leafs for the other daemons of the region.
     pub(crate) fn report(&self, reports: impl IntoIterator<Item = LeafReport>) {
         for report in reports {
             let direction = if self.reports.add(report) {
@@ -62,31 +62,31 @@
         }
     }
 
-    /// Takes in what another daemon says of leafs.
+    /// Applies reports of another daemon on leafs.
     pub fn apply_reports(&self, reports: &[LeafReport]) {
         self.metrics
             .on_leaf_reports(ReportDirection::Received, reports.len());
         let leafs = self.leafs.borrow();
         for report in reports {
             let leaf = leafs.get(&report.leaf().leaf);
-            // What was said of an earlier run says nothing of this one.
+            // A report on an earlier run does not apply to this one.
             if let Some(leaf) = leaf.filter(|leaf| leaf.entry().run() == *report.leaf()) {
                 leaf.on_report(report);
             }
         }
     }
 
-    /// Takes in the zones that are being emptied: their leafs get nothing new from now on.
+    /// Applies the zones that are being emptied: their leafs get no new requests from now on.
     pub fn apply_evacuations(&self, newer: EvacuatedZones) {
-        self.note_era(newer.at.era);
+        self.record_era(newer.at.era);
         let mut held = self.evacuated.borrow_mut();
         let is_first = held.is_none();
         let zones = held.get_or_insert_default();
         if !zones.apply(Clock.now(), newer) && !is_first {
             return;
         }
-        let told = zones.reported();
-        log::info!(zones:? = told.zones, kept:? = zones.retained(), revision = told.at.number; "zones being emptied");
+        let reported = zones.reported();
+        log::info!(zones:? = reported.zones, kept:? = zones.retained(), revision = reported.at.number; "zones being emptied");
         for service in self.services.borrow().values() {
             for leaf in service.all() {
                 let is_evacuated = zones.contains(&leaf.entry().zone);
@@ -94,11 +94,11 @@
             }
         }
         drop(held);
-        self.share_all_connections();
+        self.invalidate_shares();
         self.notify();
     }
 
-    /// The zones that are being emptied, as the source tells; none if nothing is known of them yet.
+    /// The zones that are being emptied, as the source reports them; none if they are not known yet.
     pub fn evacuated(&self) -> Option<EvacuatedZones> {
         let held = self.evacuated.borrow();
         held.as_ref().map(|held| held.reported().clone())
@@ -115,26 +115,25 @@
         self.directory.borrow()
     }
 
-    /// The state of a service, with this daemon's parts of what it bears as they are now; made if it is not
-    /// used yet.
+    /// The state of a service, with this daemon's current shares of its capacity; created on first use.
     pub fn service(&self, name: &ServiceName) -> Rc<ServiceState> {
         let used = self.services.borrow().get(name).cloned();
-        let service = used.unwrap_or_else(|| self.begin_use(name));
-        self.share_if_changed(&service);
+        let service = used.unwrap_or_else(|| self.create_service(name));
+        self.update_shares(&service);
         service
     }
 
-    /// The state of a service, if it is used. Where services are rolled out all are: what their leafs have
-    /// shown before an order tells what it changes.
+    /// The state of a service, if it is in use. Where roll-outs are followed, all services are: what their leafs
+    /// did before an order is the baseline for what it changes.
     fn used_service(&self, name: &ServiceName) -> Option<Rc<ServiceState>> {
         let used = self.services.borrow().get(name).cloned();
         let is_needed = self.settings.bounds.follow_roll_outs;
-        used.or_else(|| is_needed.then(|| self.make_service(name)))
+        used.or_else(|| is_needed.then(|| self.create_empty_service(name)))
     }
 
-    /// Makes the state of a service, of the leafs that the directory has.
-    fn begin_use(&self, name: &ServiceName) -> Rc<ServiceState> {
-        let service = self.make_service(name);
+    /// Creates the state of a service, with its leafs in the directory.
+    fn create_service(&self, name: &ServiceName) -> Rc<ServiceState> {
+        let service = self.create_empty_service(name);
         let directory = self.directory.borrow();
         let own = directory.entries().filter(|entry| entry.service == *name);
         for entry in own {
@@ -143,7 +142,7 @@
         service
     }
 
-    fn make_service(&self, name: &ServiceName) -> Rc<ServiceState> {
+    fn create_empty_service(&self, name: &ServiceName) -> Rc<ServiceState> {
         let bounds = &self.settings.bounds;
         let versions = Rc::clone(&self.roll_out_context);
         let service = ServiceState::new(name.clone(), bounds, self.started, versions);
@@ -157,18 +156,18 @@
         service
     }
 
-    /// Leafs of which this daemon holds more than the directory's entry.
+    /// Number of leafs that this daemon has state for, besides their directory entries.
     pub fn used_leafs(&self) -> usize {
         self.leafs.borrow().len()
     }
 
-    /// Idle connections to leafs.
+    /// Number of idle connections to leafs.
     pub fn idle_leaf_connections(&self) -> usize {
         let leafs = self.leafs.borrow();
         leafs.values().map(|leaf| leaf.idle_connections()).sum()
     }
 
-    /// Closes leafs' idle connections past their time.
+    /// Closes idle connections to leafs that have expired.
     pub fn close_expired(&self) {
         let now = Clock.now();
         for service in self.services.borrow().values() {
@@ -176,8 +175,8 @@
         }
     }
 
-    /// Takes in an entry, from an older copy of the source or not. Returns the service if its leafs are others
-    /// than before.
+    /// Applies an entry; `is_restored` if it comes from an older copy of the source. Returns the service if its set of
+    /// leafs has changed.
     fn put_leaf(&self, mut entry: LeafEntry, is_restored: bool) -> Option<Rc<ServiceState>> {
         let held = self.leafs.borrow().get(&entry.leaf).cloned();
         match held {
@@ -190,12 +189,12 @@
         }
         let service = self.used_service(&entry.service)?;
         service.end_earlier_runs(&entry.run());
-        let is_doubtful = is_restored && self.has_departed(&entry);
+        let is_doubtful = is_restored && self.was_removed(&entry);
         if !is_restored {
-            self.departed.borrow_mut().remove(&entry.run());
+            self.removed.borrow_mut().remove(&entry.run());
         }
         if let Some(leaf) = service.missing(&entry.run()) {
-            // Its run is as old as it was before the entry went missing.
+            // The run keeps the age that it had before its entry went missing.
             entry.inherit_from(&leaf.entry());
             let id = entry.leaf.clone();
             leaf.update(entry);
@@ -205,10 +204,15 @@
             self.leafs.borrow_mut().insert(id, leaf);
             return Some(service);
         }
-        self.note_version(&entry, &service);
+        self.update_needed_roll_outs(&entry, &service);
         let location = self.locality.locate(&entry.zone);
         let versions = Rc::clone(service.versions());
-        let leaf = Rc::new(LeafState::new(entry.clone(), location, NO_SHARE, versions));
+        let leaf = Rc::new(LeafState::new(
+            entry.clone(),
+            location,
+            INITIAL_SHARE,
+            versions,
+        ));
         leaf.set_evacuated(self.is_evacuated(&entry));
         if is_doubtful {
             leaf.set_doubtful(Clock.now());
@@ -218,7 +222,7 @@
         Some(service)
     }
 
-    /// A run of a leaf is over: another one has begun under its id, which holds and knows nothing of it.
+    /// Ends a run of a leaf that another run, with no state of it, has replaced under the same id.
     fn end_run(&self, leaf: &LeafState) {
         log::info!(leaf = leaf.entry().leaf.as_str(); "leaf started again under its id");
         self.metrics.on_leaf_restarted();
@@ -226,23 +230,23 @@
         self.leafs.borrow_mut().remove(&leaf.entry().leaf);
         if let Some(service) = self.services.borrow().get(&leaf.entry().service) {
             service.forget_gone();
-            service.set_shared(None);
+            service.set_shares_version(None);
         }
     }
 
-    /// Whether the source had taken the run out before it came back from a copy that lists it.
-    fn has_departed(&self, entry: &LeafEntry) -> bool {
-        let departed = self.departed.borrow();
-        departed.contains(Clock.now(), &entry.run())
+    /// Whether the source had removed the run before it was restored from a copy that lists it.
+    fn was_removed(&self, entry: &LeafEntry) -> bool {
+        let removed = self.removed.borrow();
+        removed.contains(Clock.now(), &entry.run())
     }
 
-    /// Takes a leaf out whose entry is missing. Returns its service, if the leaf was known.
+    /// Removes a leaf whose entry is missing. Returns its service, if the leaf was known.
     fn remove_leaf(&self, id: &LeafId, source_was_away: bool) -> Option<Rc<ServiceState>> {
         let leaf = self.leafs.borrow_mut().remove(id)?;
         let now = Clock.now();
         leaf.set_missing(now, source_was_away);
         if !source_was_away {
-            self.departed.borrow_mut().add(now, leaf.entry().run());
+            self.removed.borrow_mut().add(now, leaf.entry().run());
         }
         let service = self.services.borrow().get(&leaf.entry().service).cloned();
         if let Some(service) = &service {
@@ -251,39 +255,39 @@
         service
     }
 
-    /// Whether nothing has been heard of the leafs for longer than their entries are relied on.
-    fn is_word_of_leafs_old(&self) -> bool {
+    /// Whether the directory was last confirmed longer ago than its entries are relied on.
+    fn is_directory_stale(&self) -> bool {
         let limit = self.settings.bounds.word_limit();
         self.age(Topic::Leafs).is_some_and(|age| age > limit)
     }
 
-    /// Notes that this daemon's parts are others than before. They are computed when a service is used next.
-    pub(super) fn share_all_connections(&self) {
-        self.sharing.set(self.sharing.get() + 1);
+    /// Marks this daemon's shares as outdated. They are computed anew at the next use of each service.
+    pub(super) fn invalidate_shares(&self) {
+        self.shares_version.set(self.shares_version.get() + 1);
     }
 
-    fn share_if_changed(&self, service: &ServiceState) {
-        let sharing = Some(self.sharing.get());
-        if service.shared() != sharing {
-            service.set_shared(sharing);
-            self.share_connections(service);
-            self.share_budget(service);
+    fn update_shares(&self, service: &ServiceState) {
+        let shares_version = Some(self.shares_version.get());
+        if service.shares_version() != shares_version {
+            service.set_shares_version(shares_version);
+            self.compute_capacity_shares(service);
+            self.compute_slack_share(service);
         }
     }
 
-    /// Computes this daemon's part of the slack of extra attempts at a service. Those at shards are
+    /// Computes this daemon's share of the retry budget's slack for a service. Extra attempts at shards are
     /// nearly all made by the daemons that run queries.
-    fn share_budget(&self, service: &ServiceState) {
+    fn compute_slack_share(&self, service: &ServiceState) {
         let daemons = self.daemons.borrow();
-        let equal = 1.0 / daemons.counts.total() as f64;
-        let of_runners = match self.is_shard(service.name()) {
+        let equal_share = 1.0 / daemons.counts.total() as f64;
+        let runner_share = match self.is_shard(service.name()) {
             true => daemons.runners.slack_share(),
             false => None,
         };
-        let share = match of_runners {
+        let share = match runner_share {
             Some(share) if daemons.are_known => share,
-            Some(share) => share.min(equal),
-            None => equal,
+            Some(share) => share.min(equal_share),
+            None => equal_share,
         };
         service.set_slack_share(share);
     }
@@ -295,9 +299,9 @@
             .is_some_and(|active| active.shards.contains(service))
     }
 
-    /// Computes this daemon's part of what each leaf of a service bears: connections, and requests
+    /// Computes this daemon's share of what each leaf of a service accepts: connections, and requests
     /// while it is cold.
-    fn share_connections(&self, service: &ServiceState) {
+    fn compute_capacity_shares(&self, service: &ServiceState) {
         let Some(own_region) = self.locality.own_region() else {
             return;
         };
@@ -306,9 +310,9 @@
         let regions = regions.filter_map(|zone| self.locality.region(&zone).cloned());
         let service_regions: BTreeSet<PlaceName> = regions.collect();
         let daemons = self.daemons.borrow();
-        // Leafs of shards bear few connections of each daemon of a large fleet, and nearly all are the roots'.
+        // Leafs of shards accept few connections per daemon in a large fleet, and roots use nearly all of them.
         let is_shard = daemons.are_known && self.is_shard(service.name());
-        let kind = daemons.runners.own_group().filter(|_| is_shard);
+        let group = daemons.runners.own_group().filter(|_| is_shard);
         let configured = self.configured(service.name());
         let maximum_connections = configured
             .as_ref()
@@ -316,26 +320,26 @@
         let cold_bound = configured.and_then(|service| service.cold_requests_per_second);
         for leaf in leafs {
             let entry = leaf.entry();
-            // All daemons may have just started: none takes a part before it knows the others.
-            let part = |bound| match daemons.are_known {
+            // All daemons may have just started: none takes a share before it knows the others.
+            let share_of = |bound| match daemons.are_known {
                 true => cold_share(&entry.leaf, bound, own_region, &daemons.counts),
                 false => 0,
             };
-            leaf.set_cold_part(cold_bound.map(part));
+            leaf.set_cold_share(cold_bound.map(share_of));
             let shared = SharedLeaf {
                 leaf: &entry.leaf,
                 maximum_connections,
                 region: self.locality.region(&entry.zone),
                 service_regions: &service_regions,
             };
-            leaf.set_share(match kind {
-                Some(kind) => shared.share_among(own_region, kind),
+            leaf.set_share(match group {
+                Some(group) => shared.share_among(own_region, group),
                 None => shared.share(own_region, &daemons.counts),
             });
         }
     }
 
-    /// What is configured of a service, if anything.
+    /// The configuration of a service, if there is any.
     fn configured(&self, service: &ServiceName) -> Option<Service> {
         let active = self.active.borrow();
         let active = active.as_ref()?;
@@ -343,12 +347,12 @@
     }
 }
 
-/// Changes of a delta that are told one by one; more come only where a whole list was read, or a zone was lost.
-const MAXIMUM_TOLD: usize = 50;
+/// Changes of a delta that are logged one by one; there are more only after a full read or the loss of a zone.
+const MAXIMUM_LOGGED: usize = 50;
 
-/// One line for each change, or one for all if they are many.
+/// Logs one line per change, or one for all if there are many.
 fn log_changes(changes: &[DirectoryChange], source_was_away: bool) {
-    if changes.len() > MAXIMUM_TOLD {
+    if changes.len() > MAXIMUM_LOGGED {
         let is_gone = |change: &&DirectoryChange| matches!(change, DirectoryChange::Gone(_));
         let gone = changes.iter().filter(is_gone).count();
         let present = changes.len() - gone;
--- a/crates/tansylead-gateway/src/state/roll_outs.rs
+++ b/crates/tansylead-gateway/src/state/roll_outs.rs
@@ -1,5 +1,5 @@
-//! What the daemon's state holds of roll-outs: the orders as the source tells them, handed on to the
-//! services that they concern, and how far they must be known for the leafs that are held.
+//! Roll-out orders as the source reports them, passed to the services that they concern, and the revision up to
+//! which they must be known before the known leafs can be used safely.
 
 use super::Gateway;
 use crate::clock::Clock;
@@ -8,9 +8,9 @@
 use tansylead_route::{LeafEntry, Revision, RollOut, RollOutState, RollOuts, RollOutsMark};
 
 impl Gateway {
-    /// Takes in the orders to roll out. A set that arrives late changes nothing.
+    /// Applies the roll-out orders. A set that arrives late changes nothing.
     pub fn apply_roll_outs(&self, newer: RollOuts) {
-        self.note_era(newer.at.era);
+        self.record_era(newer.at.era);
         let held = self.roll_outs.borrow().clone();
         let is_first = held.is_none();
         let before = held.unwrap_or_default();
@@ -21,15 +21,14 @@
         }
         log_changes(&before, &after);
         let was_needed = self.needed_roll_outs().is_some();
-        self.hold_roll_outs(after);
+        self.set_roll_outs(after);
         let is_met = was_needed && self.needed_roll_outs().is_none();
         if has_changed || is_first || is_met {
             self.notify();
         }
     }
 
-    /// Notes that another replica, or the source itself, has the orders that are held here, as they were
-    /// at a later revision.
+    /// Records that another replica, or the source itself, has the same orders as this daemon at a later revision.
     pub fn advance_roll_outs(&self, other: RollOutsMark) {
         let Some(mut held) = self.roll_outs.borrow().clone() else {
             return;
@@ -38,70 +37,72 @@
         if !held.advance(other) {
             return;
         }
-        self.hold_roll_outs(held);
+        self.set_roll_outs(held);
         if was_needed && self.needed_roll_outs().is_none() {
-            // Daemons that poll this one need the same.
+            // Daemons that poll this one need this revision too.
             self.notify();
         }
     }
 
-    /// Notes that the source has told of no change up to a revision.
+    /// Records that the source has reported no change up to a revision.
     pub fn advance_roll_outs_to(&self, at: Revision) {
         if let Some(held) = self.roll_outs_mark() {
             self.advance_roll_outs(RollOutsMark { at, ..held });
         }
     }
 
-    /// The orders to roll out as the source tells them; none if nothing is known of them yet.
+    /// The roll-out orders as the source reports them; none if they are not known yet.
     pub fn roll_outs(&self) -> Option<RollOuts> {
         self.roll_outs.borrow().clone()
     }
 
-    /// The orders to act on; none if nothing is known of them yet. After the source came back from an older copy,
-    /// these are also the orders that it has lost, and those whose outcome it has lost are as they ended.
+    /// The orders to act on; none if they are not known yet. After the source was restored from an older copy, these
+    /// include the orders that it has lost, and orders whose outcome it has lost keep that outcome.
     pub fn current_roll_outs(&self) -> Option<RollOuts> {
         let is_known = self.roll_outs.borrow().is_some();
         is_known.then(|| self.current_roll_outs.borrow().clone())
     }
 
-    /// Outcomes that the source has lost, with the orders as it tells them.
+    /// Outcomes that the source has lost, with their orders as it reports them.
     pub fn lost_outcomes(&self) -> Vec<(RollOut, RollOutState)> {
-        let told = self.roll_outs.borrow();
+        let reported = self.roll_outs.borrow();
         let memory = self.order_memory.borrow();
-        let lost = told.iter().flat_map(|told| memory.lost_outcomes(told));
+        let lost = reported
+            .iter()
+            .flat_map(|reported| memory.lost_outcomes(reported));
         lost.map(|(order, state)| (order.clone(), state)).collect()
     }
 
-    /// What is held of the orders, in a few bytes; none if nothing is known of them yet.
+    /// A short summary of the known orders, to compare replicas; none if they are not known yet.
     pub fn roll_outs_mark(&self) -> Option<RollOutsMark> {
         self.roll_outs.borrow().as_ref().map(RollOuts::mark)
     }
 
-    /// Whether an order stands that has not ended.
+    /// Whether any order has not ended.
     pub fn has_open_orders(&self) -> bool {
         let held = self.roll_outs.borrow();
         let mut orders = held.iter().flat_map(|held| held.orders.values());
         orders.any(|order| !order.state.is_final())
     }
 
-    /// The revision up to which the orders must be known, if they are not known so far: a leaf of a version
-    /// that is new to its service may be the first one of an order that has not been heard of.
+    /// The revision up to which the orders must be known, if they are not yet: a leaf of a version
+    /// that is new to its service may be the first one of an order that has not arrived.
     pub fn needed_roll_outs(&self) -> Option<Revision> {
         let needed = self.roll_outs_needed.get();
         let known = self.roll_outs.borrow().as_ref().map(|held| held.at);
         (needed > known.unwrap_or_default()).then_some(needed)
     }
 
-    /// Notes a leaf that is about to be added to a service.
-    pub(super) fn note_version(&self, entry: &LeafEntry, service: &ServiceState) {
+    /// Raises the revision that must be known if a leaf about to be added is of a version new to its service.
+    pub(super) fn update_needed_roll_outs(&self, entry: &LeafEntry, service: &ServiceState) {
         if !self.settings.bounds.follow_roll_outs || entry.version.is_none() {
             return;
         }
         let leafs = service.all();
-        // The leafs of a service with one version are held together, and serve together.
-        let is_alone = leafs.is_empty();
+        // Leafs of a service's only version are withheld together and used together.
+        let is_first = leafs.is_empty();
         let is_known = |leaf: &Rc<LeafState>| leaf.entry().version == entry.version;
-        if is_alone || leafs.iter().any(is_known) {
+        if is_first || leafs.iter().any(is_known) {
             return;
         }
         let revisions = leafs.iter().map(|leaf| leaf.entry().changed_at);
@@ -110,25 +111,25 @@
             .set(self.roll_outs_needed.get().max(newest));
     }
 
-    fn hold_roll_outs(&self, told: RollOuts) {
+    fn set_roll_outs(&self, reported: RollOuts) {
         let now = Clock.now();
         let before = self.roll_outs.borrow().as_ref().map(|held| held.at.era);
-        let is_restored = before.is_some_and(|era| era < told.at.era);
+        let is_restored = before.is_some_and(|era| era < reported.at.era);
         let current = {
             let before = self.current_roll_outs.borrow();
             let mut memory = self.order_memory.borrow_mut();
-            memory.reconcile(now, &before, &told, is_restored)
+            memory.reconcile(now, &before, &reported, is_restored)
         };
         for service in self.services.borrow().values() {
             let order = current.get(service.name());
             service.versions().apply(now, order, current.at);
         }
         *self.current_roll_outs.borrow_mut() = current;
-        *self.roll_outs.borrow_mut() = Some(told);
+        *self.roll_outs.borrow_mut() = Some(reported);
     }
 }
 
-/// One line for each order that has come, changed or gone.
+/// Logs one line for each order that was added, changed or revoked.
 fn log_changes(before: &RollOuts, after: &RollOuts) {
     for order in after.orders.values() {
         let earlier = before.get(&order.service);
--- a/crates/tansylead-gateway/tests/large_fleet.rs
+++ b/crates/tansylead-gateway/tests/large_fleet.rs
@@ -83,13 +83,17 @@
     let gateway = gateway(false);
     gateway.apply_directory(everything(10_000));
     let service = gateway.service(&shard(0));
-    let shared = service.shared();
+    let before = service.shares_version();
     for count in 100..1_100 {
         gateway.set_daemons(daemons(count));
-        assert_eq!(service.shared(), shared, "nothing is computed");
+        assert_eq!(service.shares_version(), before, "nothing is computed");
     }
     gateway.service(&shard(0));
-    assert_ne!(service.shared(), shared, "the parts are those of now");
+    assert_ne!(
+        service.shares_version(),
+        shares_version,
+        "the parts are those of now"
+    );
 }
 
 #[test]
