--- a/crates/tansylead-gateway/src/execution/attempts.rs
+++ b/crates/tansylead-gateway/src/execution/attempts.rs
@@ -5,7 +5,7 @@
 //! each and save the leaf nothing.
 
 use crate::clock::Clock;
-use crate::leaf::{AttemptEnd, HandOver, LeafState, LostRun};
+use crate::leaf::{AttemptEnd, HandOver, LeafState, LostRequest};
 use crate::quarantine::AttemptInFlight;
 use std::cell::Cell;
 use std::future::Future;
@@ -79,13 +79,13 @@
             return;
         }
         if let Some(sent) = self.sent.get() {
-            let run = LostRun {
+            let request = LostRequest {
                 fingerprints: self.fingerprints,
                 sent: sent.at,
                 lost: Clock.now(),
                 care: self.in_flight.care(),
             };
-            self.leaf.lost_runs().abandon(run);
+            self.leaf.lost_requests().abandon(request);
         }
     }
 }
--- a/crates/tansylead-gateway/src/execution/call.rs
+++ b/crates/tansylead-gateway/src/execution/call.rs
@@ -226,7 +226,7 @@
         attempt: Attempt,
         end: Option<AttemptEnd>,
     ) -> Option<Reply> {
-        self.note_end(&attempt, end.as_ref());
+        self.record_end(&attempt, end.as_ref());
         if let Some(AttemptEnd::Lost(_)) = end {
             self.note_lost(&attempt);
         }
@@ -234,7 +234,7 @@
             Some(AttemptEnd::Answered(reply)) => {
                 self.note_survived(&reply);
                 let failed = reply.status.is_server_error();
-                attempt.leaf.note_end(failed);
+                attempt.leaf.record_end(failed);
                 if !failed {
                     self.note_answer(&attempt);
                 }
@@ -248,7 +248,7 @@
             }
             Some(AttemptEnd::Refused(_)) => {
                 self.shared.was_refused.set(true);
-                attempt.leaf.note_end(true);
+                attempt.leaf.record_end(true);
                 progress.arrivals += 1;
                 self.retry(progress, false);
             }
@@ -259,7 +259,7 @@
                 }
             }
             Some(AttemptEnd::Failed(_) | AttemptEnd::Lost(_) | AttemptEnd::Foreign(_)) | None => {
-                attempt.leaf.note_end(true);
+                attempt.leaf.record_end(true);
                 progress.arrivals += 1;
                 progress.may_have_run = true;
                 self.retry(progress, true);
--- a/crates/tansylead-gateway/src/execution/call_care.rs
+++ b/crates/tansylead-gateway/src/execution/call_care.rs
@@ -4,7 +4,7 @@
 use super::attempts::Attempt;
 use super::call::{Call, Progress};
 use crate::clock::Clock;
-use crate::leaf::LostRun;
+use crate::leaf::LostRequest;
 use crate::quarantine::{self, SendAdmission};
 use crate::request_trace::{AttemptReason, DenialReason};
 use hyper::StatusCode;
@@ -50,14 +50,14 @@
         let Some(sent) = attempt.sent.get() else {
             return;
         };
-        let run = LostRun {
+        let request = LostRequest {
             fingerprints: self.request.fingerprints,
             sent: sent.at,
             lost: Clock.now(),
             care: Rc::clone(&self.shared.care),
         };
         attempt.in_flight.on_lost();
-        quarantine::on_lost(&self.gateway, &attempt.leaf, run);
+        quarantine::on_lost(&self.gateway, &attempt.leaf, request);
     }
 
     /// Notes that a leaf has answered after it ran the request, and lives.
--- a/crates/tansylead-gateway/src/execution/call_notes.rs
+++ b/crates/tansylead-gateway/src/execution/call_notes.rs
@@ -55,7 +55,7 @@
             .note(self.service.name(), Decision::Denied { reason });
     }
 
-    pub(super) fn note_end(&self, attempt: &Attempt, end: Option<&AttemptEnd>) {
+    pub(super) fn record_end(&self, attempt: &Attempt, end: Option<&AttemptEnd>) {
         if let Some(AttemptEnd::Answered(_) | AttemptEnd::Refused(_)) = end {
             self.note_sign_of_life(attempt);
         }
@@ -98,7 +98,7 @@
             .gateway
             .with_latencies(&self.route.name, |profile| profile.overdue());
         let unlearned = self.route.policy.objective.mul_f64(UNLEARNED_OVERDUE_SHARE);
-        learned.unwrap_or(unlearned) + leaf.way() * WAYS
+        learned.unwrap_or(unlearned) + leaf.round_trip() * WAYS
     }
 
     pub(super) fn typical(&self) -> Duration {
@@ -114,7 +114,7 @@
             return;
         };
         let now = Clock.now();
-        let latency = now.since(sent.at).saturating_sub(attempt.leaf.way());
+        let latency = now.since(sent.at).saturating_sub(attempt.leaf.round_trip());
         let timely = now.since(attempt.started) < attempt.overdue_delay;
         let typical = self.gateway.with_latencies(&self.route.name, |profile| {
             profile.record(now, latency);
--- a/crates/tansylead-gateway/src/leaf/attempt.rs
+++ b/crates/tansylead-gateway/src/leaf/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: one request to one leaf, over one connection.
 //!
-//! Invariants: `NotRun` is said only if nothing was handed to a connection or the leaf itself said
-//! so. A connection is used again only after a whole answer that carries the request's id.
+//! Invariants: a request is reported as not run only if it was not handed to a connection or the leaf itself
+//! said so. A connection is reused only after a complete answer that carries the request's id.
 
 use super::idle_connections::LeafConnection;
 use super::leaf_state::LeafState;
@@ -19,23 +19,23 @@
 use tansylead_route::{RequestFingerprints, SHORTEST_IDLE_RESET};
 use tansylead_types::{Moment, StepError};
 
-/// Longest answer that is taken from a leaf, in bytes.
+/// Largest answer accepted from a leaf, in bytes.
 const MAXIMUM_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-/// A leaf's answer is waited for this much longer than the leaf was told.
+/// How long to wait for an answer beyond the deadline sent to the leaf.
 const ANSWER_SLACK: Duration = Duration::from_millis(100);
-/// A connection to a leaf that falls silent ends after this time.
+/// A connection to a leaf that has gone silent is closed after this time.
 const LEAF_SILENCE: Duration = Duration::from_secs(8);
-/// Bytes of the read buffer of a connection: a small answer with its headers.
+/// Size of a connection's read buffer: a small answer with its headers.
 const READ_BUFFER_BYTES: usize = 2 * 1024;
 
-/// A caller's request as it goes to leafs.
+/// A caller's request as it is sent to leafs.
 #[derive(Debug)]
 pub struct OutgoingRequest {
     /// Method.
     pub method: Method,
     /// Path and query, unchanged.
     pub uri: Uri,
-    /// Headers, without those that concern one connection only.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
@@ -43,14 +43,14 @@
     pub id: Option<HeaderValue>,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// What it is recognized by when it comes again.
+    /// Fingerprints that identify repetitions of the request.
     pub fingerprints: RequestFingerprints,
 }
 
-/// That a request was handed to a connection.
+/// The handover of a request to a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HandOver {
-    /// When.
+    /// When it was handed over.
     pub at: Moment,
     /// Whether the connection had been kept from an earlier request.
     pub on_kept: bool,
@@ -61,21 +61,21 @@
 pub enum AttemptEnd {
     /// The leaf answered this request.
     Answered(Reply),
-    /// The leaf says that it did not run the request.
+    /// The leaf reports that it did not run the request.
     Refused(Reply),
     /// Nothing was handed to a connection.
     NotSent(StepError),
-    /// The leaf may have run the request; there is no answer that could be passed on.
+    /// The leaf may have run the request; there is no answer to forward.
     Failed(StepError),
-    /// The same: the connection ended before a whole answer, with the leaf or without it.
+    /// As `Failed`: the connection ended before a complete answer; the leaf may have ended or not.
     Lost(StepError),
-    /// The same: what came is an answer to another request.
+    /// As `Failed`: the answer belongs to another request.
     Foreign(StepError),
 }
 
-/// Runs one attempt until its end. `may_use` tells, right before the request is handed over, whether
-/// it may still go to the leaf; `sent` is set when it is handed to a connection. A connection must come
-/// up within the time after which an answer is overdue.
+/// Runs one attempt to its end. `may_use` decides, right before the request is handed over, whether
+/// it may still go to the leaf; `sent` is set when it is handed to a connection. A connection must be
+/// established within the time after which an answer is overdue.
 pub async fn run_attempt(
     leaf: Rc<LeafState>,
     request: Rc<OutgoingRequest>,
@@ -90,7 +90,7 @@
     };
     let LeafConnection {
         mut connection,
-        rested,
+        idle_time,
     } = match connect(&leaf, &request, terms.overdue_delay).await {
         Ok(connected) => connected,
         Err(error) => return AttemptEnd::NotSent(error),
@@ -111,16 +111,16 @@
     open.set_sent(now, &terms);
     sent.set(Some(HandOver {
         at: now,
-        on_kept: rested.is_some(),
+        on_kept: idle_time.is_some(),
     }));
     let exchange = connection.exchange(outgoing, MAXIMUM_ANSWER_BYTES);
     let ended = match Clock.timeout_at(terms.end + ANSWER_SLACK, exchange).await {
         Ok(Ok(reply)) => {
-            leaf.connections().on_answer(rested);
+            leaf.connections().on_answer(idle_time);
             finish(&leaf, &request, &names, connection, reply)
         }
         Ok(Err(error)) => {
-            leaf.on_connection_lost(rested);
+            leaf.on_connection_lost(idle_time);
             match error {
                 ExchangeError::NotWritten(error) => {
                     sent.set(None);
@@ -135,7 +135,7 @@
     ended
 }
 
-/// What the end of an attempt that was sent says of the leaf's version.
+/// The end of a sent attempt, as evidence on the leaf's version.
 fn as_evidence(ended: &AttemptEnd) -> SendEnd {
     match ended {
         AttemptEnd::Answered(reply) if reply.status.is_server_error() => SendEnd::Failed,
@@ -148,20 +148,20 @@
     }
 }
 
-/// A connection to the leaf: one at rest if there is any, or a new one.
+/// A connection to the leaf: an idle one if there is any, or a new one.
 async fn connect(
     leaf: &Rc<LeafState>,
     request: &OutgoingRequest,
     connect_limit: Duration,
 ) -> Result<LeafConnection, StepError> {
-    // What is lost with a forgotten connection may have run.
-    let longest_rest = if request.repeatable {
+    // The peer may have dropped an idle connection, and a request that is lost on it may have run.
+    let max_idle = if request.repeatable {
         Duration::MAX
     } else {
         SHORTEST_IDLE_RESET
     };
     let connections = leaf.connections();
-    while let Some(mut idle) = connections.take_idle(Clock.now(), longest_rest) {
+    while let Some(mut idle) = connections.take_idle(Clock.now(), max_idle) {
         if idle.connection.is_ready() || idle.connection.is_usable().await {
             return Ok(idle);
         }
@@ -180,7 +180,7 @@
     }
     opened.map(|connection| LeafConnection {
         connection,
-        rested: None,
+        idle_time: None,
     })
 }
 
@@ -213,7 +213,7 @@
             AttemptEnd::Refused(reply)
         }
         word => {
-            if !closes(&reply.headers) {
+            if !has_connection_close(&reply.headers) {
                 leaf.give_back(connection, idle_limit(&reply.headers));
             }
             match word {
@@ -224,7 +224,7 @@
     }
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION);
     values.iter().any(|value| {
         value
@@ -233,7 +233,7 @@
     })
 }
 
-/// Time after which the leaf closes the idle connection, less a margin for the way.
+/// Time after which the leaf closes the idle connection, less a margin for network delay.
 fn idle_limit(headers: &HeaderMap) -> Option<Duration> {
     const MARGIN: Duration = Duration::from_millis(500);
     let text = headers.get("keep-alive")?.to_str().ok()?;
--- a/crates/tansylead-gateway/src/leaf/end_check.rs
+++ b/crates/tansylead-gateway/src/leaf/end_check.rs
@@ -1,8 +1,8 @@
-//! Tells whether a leaf has ended, after a connection to it was lost under a request.
+//! Determines whether a leaf process has ended, after a connection to it was lost during a request.
 //!
-//! A lost answer alone says little: the leaf may have closed the connection, or the way may have broken.
-//! That its address refuses a new connection says that the process is gone; so does its entry, if it goes or
-//! another run takes the address. An answer to a request that was sent later says that it lives.
+//! A lost answer alone shows little: the leaf may have closed the connection, or the network may have failed.
+//! If its address refuses a new connection, the process is gone; so it is if its entry disappears or
+//! another run takes the address. An answer to a request that was sent later shows that it is alive.
 
 use super::leaf_state::LeafState;
 use crate::clock::Clock;
@@ -13,26 +13,26 @@
 use tansylead_types::Moment;
 use tokio::net::TcpStream;
 
-/// Time for the address to refuse or accept a connection: several ways to another region and back.
+/// Time for the address to refuse or accept a connection: several round trips to another region.
 const PROBE_LIMIT: Duration = Duration::from_millis(150);
-/// How long the entry of a leaf that ended stands at most: three heartbeats of little more than a second,
-/// and the way of the news.
+/// How long the entry of an ended leaf lasts at most: three heartbeats of little more than a second,
+/// and the time until this daemon learns of it.
 const ENTRY_LIMIT: Duration = Duration::from_secs(6);
-/// An answer that comes this soon after the loss may have been under way when the leaf ended.
-const UNDER_WAY: Duration = Duration::from_millis(100);
-/// Period at which entry and answers are looked at.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+/// An answer this soon after the loss may have been in transit when the leaf ended.
+const TRANSIT_TOLERANCE: Duration = Duration::from_millis(100);
+/// Period at which entry and answers are checked.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// What showed that a leaf has ended.
+/// Evidence that a leaf has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndSign {
+pub enum EndEvidence {
     /// Its address refuses connections.
     Refused,
-    /// Its entry is gone, or its address is another run's.
+    /// Its entry is gone, or another run has its address.
     EntryGone,
 }
 
-impl EndSign {
+impl EndEvidence {
     /// Name, for logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
@@ -42,16 +42,16 @@
     }
 }
 
-/// What a new connection to the leaf's address tells at once.
+/// Result of opening a connection to the leaf's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
     /// The process is gone.
     Refused,
-    /// Somebody accepts connections there, or nothing was heard.
+    /// Connections are accepted there, or there was no reply.
     Open,
 }
 
-/// Asks the leaf's address for a new connection, in place of the one that was lost. One that comes up is
+/// Opens a connection to the leaf's address, in place of the one that was lost. If it is established, it is
 /// kept for the next request.
 pub async fn probe(leaf: &Rc<LeafState>) -> Probe {
     let address = leaf.entry().address;
@@ -69,13 +69,15 @@
     }
 }
 
-/// Waits until the leaf's entry or its answers tell whether it has ended since `lost`.
-pub async fn watch_entry(leaf: &LeafState, lost: Moment) -> Option<EndSign> {
-    while Clock.now().since(lost) < ENTRY_LIMIT && !leaf.has_answered_since(lost + UNDER_WAY) {
+/// Waits until the leaf's entry or its answers show whether it has ended since `lost`.
+pub async fn watch_entry(leaf: &LeafState, lost: Moment) -> Option<EndEvidence> {
+    while Clock.now().since(lost) < ENTRY_LIMIT
+        && !leaf.has_answered_since(lost + TRANSIT_TOLERANCE)
+    {
         if leaf.has_vanished() {
-            return Some(EndSign::EntryGone);
+            return Some(EndEvidence::EntryGone);
         }
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
     }
     None
 }
--- a/crates/tansylead-gateway/src/leaf/idle_connections.rs
+++ b/crates/tansylead-gateway/src/leaf/idle_connections.rs
@@ -1,15 +1,15 @@
-//! The connections to one leaf that nobody uses at the moment.
+//! Idle connections to one leaf.
 
 use std::cell::RefCell;
 use std::time::Duration;
 use tansylead_http::HttpConnection;
 use tansylead_types::Moment;
 
-/// A connection at rest.
+/// An idle connection.
 #[derive(Debug)]
 struct IdleConnection {
     connection: HttpConnection,
-    rests_since: Moment,
+    idle_since: Moment,
     usable_until: Moment,
 }
 
@@ -18,43 +18,43 @@
 pub struct LeafConnection {
     /// The connection.
     pub connection: HttpConnection,
-    /// How long it has rested; none if it is new.
-    pub rested: Option<Duration>,
+    /// How long it was idle; none if it is new.
+    pub idle_time: Option<Duration>,
 }
 
-/// Connections at rest, the one that rested least last.
+/// Idle connections, the most recently used last.
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
     connections: RefCell<Vec<IdleConnection>>,
 }
 
 impl IdleConnections {
-    /// Takes in a connection that may be used again for `limit`.
+    /// Adds a connection that may be reused within `limit`.
     pub(super) fn put(&self, connection: HttpConnection, now: Moment, limit: Duration) {
         self.connections.borrow_mut().push(IdleConnection {
             connection,
-            rests_since: now,
+            idle_since: now,
             usable_until: now + limit,
         });
     }
 
-    /// The connection that rested least, if that is no longer than `longest_rest` and the leaf has not
-    /// closed it, as far as is known.
-    pub(super) fn take(&self, now: Moment, longest_rest: Duration) -> Option<LeafConnection> {
+    /// The most recently used connection that has not expired and is not known to be closed by the leaf, if it
+    /// has been idle for at most `max_idle`.
+    pub(super) fn take(&self, now: Moment, max_idle: Duration) -> Option<LeafConnection> {
         let mut connections = self.connections.borrow_mut();
-        let is_rested = |idle: &mut IdleConnection| now.since(idle.rests_since) <= longest_rest;
-        while let Some(last) = connections.pop_if(is_rested) {
+        let is_recent = |idle: &mut IdleConnection| now.since(idle.idle_since) <= max_idle;
+        while let Some(last) = connections.pop_if(is_recent) {
             if !last.connection.is_closed() && now < last.usable_until {
                 return Some(LeafConnection {
                     connection: last.connection,
-                    rested: Some(now.since(last.rests_since)),
+                    idle_time: Some(now.since(last.idle_since)),
                 });
             }
         }
         None
     }
 
-    /// Closes connections past their time, and gives their memory back.
+    /// Closes connections that have expired, and frees their memory.
     pub(super) fn close_expired(&self, now: Moment) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|idle| !idle.connection.is_closed() && now < idle.usable_until);
--- a/crates/tansylead-gateway/src/leaf/leaf_availability.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_availability.rs
@@ -1,5 +1,5 @@
-//! Whether one leaf may be used: by its entry, its zone, and what it bears while it is cold. What its
-//! version says is `roll_out::ServiceVersions`.
+//! Whether one leaf may be used, by its entry, its zone, and its limit while it is cold. Whether its version may
+//! be used is decided by `roll_out::ServiceVersions`.
 
 use crate::clock::Clock;
 use std::cell::{Cell, Ref, RefCell};
@@ -7,7 +7,7 @@
 use tansylead_route::{ColdLeafLimit, Eligibility, EntryState, LeafEntry, LeafPhase};
 use tansylead_types::Moment;
 
-/// What decides whether a leaf may be used.
+/// The conditions under which a leaf may be used.
 #[derive(Debug)]
 pub(super) struct LeafAvailability {
     entry: RefCell<LeafEntry>,
@@ -35,7 +35,7 @@
         self.entry.borrow()
     }
 
-    /// Takes in an entry that is new or has come back. A leaf that said it was leaving stays so.
+    /// Applies an entry that is new or has come back. A leaf that announced it is leaving stays leaving.
     pub(super) fn update(&self, mut entry: LeafEntry) {
         if self.entry.borrow().phase == LeafPhase::Draining {
             entry.phase = LeafPhase::Draining;
@@ -50,44 +50,44 @@
             .set(self.entry_state.get().after_received());
     }
 
-    /// Notes that the entry is missing. Returns whether that says anything new.
+    /// Records that the entry is missing. Returns whether that changed anything.
     pub(super) fn set_missing(&self, now: Moment, source_was_away: bool) -> bool {
-        let is_news = self.entry_state.get() != EntryState::Replaced;
-        if is_news {
+        let is_new = self.entry_state.get() != EntryState::Replaced;
+        if is_new {
             self.entry_state.set(EntryState::Missing {
                 since: now,
                 source_was_away,
             });
         }
-        is_news
+        is_new
     }
 
-    /// Notes that only an older copy of the source lists the leaf.
+    /// Records that only an older copy of the source lists the leaf.
     pub(super) fn set_doubtful(&self, now: Moment) {
         if self.entry_state.get() != EntryState::Replaced {
             self.entry_state.set(EntryState::Doubtful { since: now });
         }
     }
 
-    /// Notes that another run of a leaf has the address.
+    /// Records that another run of a leaf has the address.
     pub(super) fn set_replaced(&self) {
         self.entry_state.set(EntryState::Replaced);
     }
 
-    /// Whether the leaf said that it is leaving.
+    /// Whether the leaf announced that it is leaving.
     pub(super) fn is_leaving(&self) -> bool {
         self.entry.borrow().phase == LeafPhase::Draining
     }
 
-    /// Whether the entry went without a word of leaving, while the source could be heard.
+    /// Whether the entry disappeared while the source was available and the leaf had not announced that it is leaving.
     pub(super) fn has_vanished(&self) -> bool {
-        let said_so = self.is_leaving();
+        let is_leaving = self.is_leaving();
         match self.entry_state.get() {
             EntryState::Listed | EntryState::Doubtful { .. } => false,
-            EntryState::Replaced => !said_so,
+            EntryState::Replaced => !is_leaving,
             EntryState::Missing {
                 source_was_away, ..
-            } => !said_so && !source_was_away,
+            } => !is_leaving && !source_was_away,
         }
     }
 
@@ -99,12 +99,12 @@
         )
     }
 
-    /// Notes whether the leaf's zone is being emptied.
+    /// Sets whether the leaf's zone is being emptied.
     pub(super) fn set_evacuated(&self, is_evacuated: bool) {
         self.is_evacuated.set(is_evacuated);
     }
 
-    /// Whether the leaf bears another request; always, unless it is cold.
+    /// Whether the leaf can take another request; always, unless it is cold.
     pub(super) fn has_room(&self, now: Moment) -> bool {
         self.cold_limit.get().has_room(now)
     }
@@ -114,15 +114,15 @@
         self.cold_limit.get().is_cold(now)
     }
 
-    /// Sets this daemon's part of the requests of a second that the leaf bears while it is cold; none
-    /// if there is no bound.
-    pub(super) fn set_cold_share(&self, part: Option<u32>) {
+    /// Sets this daemon's share of the requests per second that the leaf can take while it is cold; none
+    /// if there is no limit.
+    pub(super) fn set_cold_share(&self, share: Option<u32>) {
         let mut limit = self.cold_limit.get();
-        limit.set_share(part);
+        limit.set_share(share);
         self.cold_limit.set(limit);
     }
 
-    /// Notes that a request is handed to a connection.
+    /// Records that a request is handed to a connection.
     pub(super) fn on_sent(&self, now: Moment) {
         let mut limit = self.cold_limit.get();
         limit.on_sent(now);
--- a/crates/tansylead-gateway/src/leaf/leaf_connections.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_connections.rs
@@ -1,5 +1,5 @@
-//! This daemon's connections to one leaf: how many it may have, those at rest, and what is known of
-//! how the leaf treats them.
+//! This daemon's connections to one leaf: their limit, the idle ones, and what was learned of how the leaf
+//! closes or resets them.
 
 use super::idle_connections::{IdleConnections, LeafConnection};
 use std::cell::Cell;
@@ -15,7 +15,7 @@
 /// Connections to one leaf.
 #[derive(Debug)]
 pub(super) struct LeafConnections {
-    /// Bounds requests at a time, and with them connections: a new one is opened only if none is
+    /// Limits concurrent requests, and with them connections: a new one is opened only if none is
     /// idle.
     permits: Arc<Semaphore>,
     limit: Cell<u32>,
@@ -23,14 +23,14 @@
     idle: IdleConnections,
     backoff: Cell<ConnectBackoff>,
     idle_policy: Cell<IdlePolicy>,
-    /// Shortest time that a connection took to come up: the way there and back.
-    way: Cell<Option<Duration>>,
-    /// Whether anything comes on those that were kept.
+    /// Shortest time in which a connection was established: the round-trip time.
+    round_trip: Cell<Option<Duration>>,
+    /// Detects that kept connections have gone silent.
     silence: Cell<ConnectionSilence>,
 }
 
 impl LeafConnections {
-    /// No connections yet, and this part of those that the leaf accepts.
+    /// No connections yet, limited to a share of those that the leaf accepts.
     pub(super) fn new(share: ConnectionShare) -> Self {
         Self {
             permits: Arc::new(Semaphore::new(share.connections as usize)),
@@ -39,12 +39,12 @@
             idle: IdleConnections::default(),
             backoff: Cell::default(),
             idle_policy: Cell::default(),
-            way: Cell::new(None),
+            round_trip: Cell::new(None),
             silence: Cell::default(),
         }
     }
 
-    /// Bounds the requests at a time by this daemon's part of the leaf's connections.
+    /// Limits concurrent requests to this daemon's share of the leaf's connections.
     pub(super) fn set_share(&self, share: ConnectionShare) {
         self.is_reserve.set(share.is_reserve);
         self.set_limit(share.connections);
@@ -60,82 +60,85 @@
         }
     }
 
-    /// Permits of requests at a time.
+    /// Permits for concurrent requests.
     pub(super) fn permits(&self) -> Arc<Semaphore> {
         Arc::clone(&self.permits)
     }
 
-    /// Requests at a time.
+    /// Maximum number of concurrent requests.
     pub(super) fn limit(&self) -> u32 {
         self.limit.get()
     }
 
-    /// Whether this daemon has no part in the leaf's connections.
+    /// Whether this daemon's share of the leaf's connections is less than a whole one.
     pub(super) fn is_reserve(&self) -> bool {
         self.is_reserve.get()
     }
 
-    /// Usual time between two requests; none if it is not known.
+    /// Mean time between two requests; none if it is not known.
     pub(super) fn usual_gap(&self) -> Option<Duration> {
         self.idle_policy.get().mean_gap()
     }
 
-    /// Whether new connections wait because the leaf has reset some.
+    /// Whether new connections are backed off because the leaf has reset some.
     pub(super) fn resets_connections(&self, now: Moment) -> bool {
         self.backoff.get().is_waiting(now)
     }
 
-    /// Shortest time that a connection took to come up; none before the first one.
-    pub(super) fn measured_way(&self) -> Option<Duration> {
-        self.way.get()
+    /// Shortest time in which a connection was established; none before the first one.
+    pub(super) fn measured_round_trip(&self) -> Option<Duration> {
+        self.round_trip.get()
     }
 
-    /// Notes how long a connection took to come up.
+    /// Records the time in which a connection was established.
     pub(super) fn on_connected(&self, took: Duration) {
-        let shortest = self.way.get().map_or(took, |way| way.min(took));
-        self.way.set(Some(shortest));
+        let shortest = self
+            .round_trip
+            .get()
+            .map_or(took, |round_trip| round_trip.min(took));
+        self.round_trip.set(Some(shortest));
     }
 
-    /// Notes that a request is handed to a connection.
+    /// Records that a request is handed to a connection.
     pub(super) fn on_sent(&self, now: Moment) {
         let mut policy = self.idle_policy.get();
         policy.on_use(now);
         self.idle_policy.set(policy);
     }
 
-    /// Notes that a connection was reset, or closed, instead of an answer to a request. Returns whether
-    /// new connections wait from now on.
-    pub(super) fn on_lost(&self, now: Moment, rested: Option<Duration>) -> bool {
-        let Some(rested) = rested else {
+    /// Records that a connection was reset, or closed, instead of an answer to a request. Returns whether
+    /// a backoff of new connections starts now.
+    pub(super) fn on_lost(&self, now: Moment, idle_time: Option<Duration>) -> bool {
+        let Some(idle_time) = idle_time else {
             let mut backoff = self.backoff.get();
-            let waits_from_now = backoff.on_reset(now, rand::random());
+            let starts_backoff = backoff.on_reset(now, rand::random());
             self.backoff.set(backoff);
-            return waits_from_now;
+            return starts_backoff;
         };
         let mut policy = self.idle_policy.get();
-        policy.on_idle_reset(now, rested);
+        policy.on_idle_reset(now, idle_time);
         self.idle_policy.set(policy);
         false
     }
 
-    /// Notes an answer on a connection that had rested, or was new.
-    pub(super) fn on_answer(&self, rested: Option<Duration>) {
-        if rested.is_none() {
+    /// Records an answer on a connection that had been idle, or was new.
+    pub(super) fn on_answer(&self, idle_time: Option<Duration>) {
+        if idle_time.is_none() {
             let mut backoff = self.backoff.get();
             backoff.on_answer();
             self.backoff.set(backoff);
         }
     }
 
-    /// Notes an answer on a connection that had been kept.
+    /// Records an answer on a connection that had been kept.
     pub(super) fn on_kept_answer(&self, now: Moment) {
         let mut silence = self.silence.get();
         silence.on_answer(now);
         self.silence.set(silence);
     }
 
-    /// Notes that an answer is overdue on a connection that had been kept. Closes the others that were
-    /// kept, and tells so, if all of them have most likely gone silent.
+    /// Records that an answer is overdue on a connection that had been kept. Closes the other kept connections,
+    /// and returns true, if all of them have most likely gone silent.
     pub(super) fn on_kept_overdue(&self, now: Moment, sent: Moment) -> bool {
         let mut silence = self.silence.get();
         let is_lost = silence.on_overdue(now, sent, SilenceLimit::ONE_LEAF);
@@ -147,12 +150,12 @@
         closes
     }
 
-    /// The idle connection that rested least, if that is no longer than `longest_rest`.
-    pub(super) fn take_idle(&self, now: Moment, longest_rest: Duration) -> Option<LeafConnection> {
-        self.idle.take(now, longest_rest)
+    /// The most recently used idle connection, if it has been idle for at most `max_idle`.
+    pub(super) fn take_idle(&self, now: Moment, max_idle: Duration) -> Option<LeafConnection> {
+        self.idle.take(now, max_idle)
     }
 
-    /// Takes back a connection. The leaf closes it after `idle_limit`, if it says so.
+    /// Returns a connection to the idle ones. The leaf closes it after `idle_limit`, if it states one.
     pub(super) fn give_back(
         &self,
         connection: HttpConnection,
@@ -165,7 +168,7 @@
         self.idle.put(connection, now, limit);
     }
 
-    /// Closes idle connections past their time.
+    /// Closes idle connections that have expired.
     pub(super) fn close_expired(&self, now: Moment) {
         self.idle.close_expired(now);
     }
--- a/crates/tansylead-gateway/src/leaf/leaf_health.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_health.rs
@@ -1,4 +1,4 @@
-//! Signs of one leaf's health: whether it answers, how fast, and how often it fails.
+//! Health of one leaf: whether it answers, how fast, and how often it fails.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -7,21 +7,21 @@
 };
 use tansylead_types::Moment;
 
-/// Hundredths, for factors that travel between daemons.
+/// Factors are sent between daemons in percent.
 const PERCENT: f64 = 100.0;
 
-/// Signs of one leaf's health.
+/// Health of one leaf, as observed by this daemon and reported by others.
 #[derive(Debug, Default)]
 pub(super) struct LeafHealth {
     breaker: RefCell<Breaker>,
-    /// What other daemons say of its silence.
+    /// Silence of the leaf that other daemons reported.
     reported_silence: Cell<ReportedSilence>,
     slowness: Cell<Slowness>,
     failures: Cell<FailureRate>,
 }
 
 impl LeafHealth {
-    /// Whether the leaf may get a new request, by its breaker and by what other daemons say.
+    /// Whether the leaf may get a new request, by its circuit breaker and by reports of other daemons.
     pub(super) fn verdict(&self, now: Moment) -> BreakerVerdict {
         if self.reported_silence.get().is_silent(now) {
             return BreakerVerdict::Avoid;
@@ -44,7 +44,7 @@
         self.slowness.get().answered_at()
     }
 
-    /// Takes in what another daemon says of the leaf.
+    /// Applies a report of another daemon on the leaf.
     pub(super) fn on_report(&self, now: Moment, report: &LeafReport) {
         let mut silence = self.reported_silence.get();
         match report {
@@ -62,18 +62,18 @@
         self.reported_silence.set(silence);
     }
 
-    /// Notes that a request is handed to a connection.
+    /// Records that a request is handed to a connection.
     pub(super) fn on_sent(&self, now: Moment) {
         self.breaker.borrow_mut().on_sent(now);
     }
 
-    /// Notes that an attempt sent at `sent` ended without saying anything more about the leaf.
+    /// Records that an attempt sent at `sent` has ended, in case nothing else was recorded of it.
     pub(super) fn on_abandoned(&self, sent: Moment) {
         self.breaker.borrow_mut().on_abandoned(sent);
     }
 
-    /// Notes that an attempt sent at `sent` is overdue. A leaf that has answered others since is
-    /// slow; one that has not has stopped answering. Returns a report for other daemons.
+    /// Records that an attempt sent at `sent` is overdue. A leaf that has answered other requests since is
+    /// slow; one that has not is unresponsive. Returns a report for other daemons.
     pub(super) fn on_overdue(
         &self,
         leaf: &LeafRun,
@@ -100,21 +100,21 @@
         })
     }
 
-    /// Notes that the leaf could not be reached.
+    /// Records that the leaf could not be reached.
     pub(super) fn on_unreachable(&self, leaf: &LeafRun, now: Moment, delay: Duration) {
         if self.breaker.borrow_mut().on_unreachable(now, delay) {
             log::info!(leaf = leaf.leaf.as_str(); "leaf unreachable");
         }
     }
 
-    /// Notes whether an attempt failed.
-    pub(super) fn note_end(&self, now: Moment, failed: bool) {
+    /// Records whether an attempt failed.
+    pub(super) fn record_end(&self, now: Moment, failed: bool) {
         let mut failures = self.failures.get();
         failures.record(now, failed);
         self.failures.set(failures);
     }
 
-    /// Notes an answer that took `ratio` times as long as is typical. Returns reports for other
+    /// Records an answer that took `ratio` times as long as is typical. Returns reports for other
     /// daemons.
     pub(super) fn on_answer(
         &self,
@@ -134,12 +134,12 @@
             log::info!(leaf = leaf.leaf.as_str(); "leaf sound again");
         }
         let mut slowness = self.slowness.get();
-        let told_factor = match timely {
+        let reported_factor = match timely {
             true => slowness.on_timely(now, ratio).then_some(1.0),
             false => slowness.on_late(now, sent, ratio).then_some(ratio),
         };
         self.slowness.set(slowness);
-        if let Some(factor) = told_factor {
+        if let Some(factor) = reported_factor {
             let percent = (factor * PERCENT) as u32;
             let leaf = leaf.clone();
             reports.push(LeafReport::Slow { leaf, percent });
@@ -148,7 +148,7 @@
     }
 }
 
-/// How many times the typical latency something took; 1 if nothing is typical yet.
+/// Latency as a multiple of the typical one; 1 if there is no typical latency yet.
 pub(super) fn ratio(latency: Duration, typical: Duration) -> f64 {
     if typical.is_zero() {
         return 1.0;
--- a/crates/tansylead-gateway/src/leaf/leaf_state.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_state.rs
@@ -1,9 +1,9 @@
-//! What this daemon knows of one run of a leaf. Shared by all routes that use it.
+//! State of one run of a leaf, shared by all routes that use it.
 
 use super::leaf_availability::LeafAvailability;
 use super::leaf_connections::LeafConnections;
 use super::leaf_health::{LeafHealth, ratio};
-use super::lost_runs::LostRuns;
+use super::lost_requests::LostRequests;
 use super::open_attempt::OpenAttempt;
 use crate::clock::Clock;
 use crate::roll_out::{SendTarget, SendTerms, ServiceVersions, VersionSend};
@@ -17,26 +17,26 @@
 };
 use tansylead_types::{Moment, PlaceName};
 
-/// The way there and back before it is measured.
-const UNMEASURED_ZONE_WAY: Duration = Duration::from_millis(1);
-const UNMEASURED_REGION_WAY: Duration = Duration::from_millis(4);
-const UNMEASURED_REMOTE_WAY: Duration = Duration::from_millis(30);
+/// Round-trip times assumed until one is measured.
+const UNMEASURED_ZONE_ROUND_TRIP: Duration = Duration::from_millis(1);
+const UNMEASURED_REGION_ROUND_TRIP: Duration = Duration::from_millis(4);
+const UNMEASURED_REMOTE_ROUND_TRIP: Duration = Duration::from_millis(30);
 
 /// One run of a leaf.
 #[derive(Debug)]
 pub struct LeafState {
     availability: LeafAvailability,
-    /// Versions of its service.
+    /// Versions of the leaf's service.
     versions: Rc<ServiceVersions>,
     location: LeafLocation,
     in_flight: Cell<u32>,
     connections: LeafConnections,
     health: LeafHealth,
-    lost_runs: LostRuns,
+    lost_requests: LostRequests,
 }
 
 impl LeafState {
-    /// A leaf about which nothing is known but its entry.
+    /// A leaf of which only the entry is known.
     pub fn new(
         entry: LeafEntry,
         location: LeafLocation,
@@ -51,7 +51,7 @@
             in_flight: Cell::new(0),
             connections: LeafConnections::new(share),
             health: LeafHealth::default(),
-            lost_runs: LostRuns::default(),
+            lost_requests: LostRequests::default(),
         }
     }
 
@@ -70,27 +70,27 @@
         self.location.region.as_ref()
     }
 
-    /// Takes in an entry that is new or has come back. A leaf that said it was leaving stays so.
+    /// Applies an entry that is new or has come back. A leaf that announced it is leaving stays leaving.
     pub fn update(&self, entry: LeafEntry) {
         self.versions.on_entry(&entry);
         self.availability.update(entry);
     }
 
-    /// Notes that the entry is missing. Connections are kept only if it may have lapsed while the
+    /// Records that the entry is missing. Connections are kept only if it may have expired while the
     /// source was away.
     pub fn set_missing(&self, now: Moment, source_was_away: bool) {
-        let is_news = self.availability.set_missing(now, source_was_away);
-        if is_news && !source_was_away {
+        let is_new = self.availability.set_missing(now, source_was_away);
+        if is_new && !source_was_away {
             self.connections.close_idle();
         }
     }
 
-    /// Notes that only an older copy of the source lists the leaf, which the source had taken out.
+    /// Records that only an older copy of the source lists the leaf, which the source had removed.
     pub fn set_doubtful(&self, now: Moment) {
         self.availability.set_doubtful(now);
     }
 
-    /// Notes that another run of a leaf has the address, or has begun under its id.
+    /// Records that another run of a leaf has the address, or has started under its id.
     pub fn set_replaced(&self) {
         self.availability.set_replaced();
         self.connections.close_idle();
@@ -101,7 +101,7 @@
         self.availability.is_listed()
     }
 
-    /// Notes whether the leaf's zone is being emptied. Its idle connections are closed then.
+    /// Sets whether the leaf's zone is being emptied. If so, its idle connections are closed.
     pub fn set_evacuated(&self, is_evacuated: bool) {
         self.availability.set_evacuated(is_evacuated);
         if is_evacuated {
@@ -109,8 +109,8 @@
         }
     }
 
-    /// How the leaf may be used for new requests that are confined to `homes`. Whatever sends
-    /// requests, or counts on a leaf for them, asks here.
+    /// How the leaf may be used for new requests that are restricted to `homes`. Checked wherever a request
+    /// is sent to a leaf, or a leaf is counted as available for one.
     pub fn eligibility_for(
         &self,
         homes: &HomeRegions,
@@ -129,9 +129,9 @@
         }
     }
 
-    /// How the leaf may be used at all, whatever a route is confined to, however little a cold leaf
-    /// bears, and whatever is granted to its version: connections are shared and kept by it. One whose
-    /// entry went without a word is the last resort for `grace`.
+    /// How the leaf may be used regardless of a route's regions, the limit of a cold leaf, and the grants of
+    /// its version; decides which leafs connections are shared out and kept for. A leaf whose entry disappeared
+    /// unannounced is the last resort for `grace`.
     pub fn eligibility(&self, now: Moment, grace: Duration) -> Eligibility {
         match self.versions.use_of(now, &self.entry()) {
             VersionUse::Excluded => Eligibility::Ineligible,
@@ -139,17 +139,17 @@
         }
     }
 
-    /// Versions of its service.
+    /// Versions of the leaf's service.
     pub(super) fn versions(&self) -> &ServiceVersions {
         &self.versions
     }
 
-    /// The stage of the trial that the leaf's version is the target of; none if it is of none.
+    /// The stage of the trial of the leaf's version; none if it is not under trial.
     pub fn trial_stage(&self) -> Option<Stage> {
         self.versions.trial_stage(&self.entry())
     }
 
-    /// Notes that the leaf may not be used any more when a request was about to be handed over.
+    /// Records that the leaf could no longer be used when a request was about to be handed over.
     pub(super) fn on_withheld(&self, now: Moment) {
         self.versions.on_withheld(now, &self.entry());
     }
@@ -157,7 +157,7 @@
     /// Counts a request that is handed to a connection, as evidence on the leaf's version.
     pub(super) fn begin_send(&self, now: Moment, terms: &SendTerms) -> Option<VersionSend> {
         let target = SendTarget {
-            way: self.way(),
+            way: self.round_trip(),
             is_cold: self.availability.is_cold(now),
         };
         let version = &self.entry().version;
@@ -165,13 +165,13 @@
             .begin_send(now, version.as_ref(), target, terms)
     }
 
-    /// Sets this daemon's part of the requests of a second that the leaf bears while it is cold; none
-    /// if there is no bound.
-    pub fn set_cold_share(&self, part: Option<u32>) {
-        self.availability.set_cold_share(part);
+    /// Sets this daemon's share of the requests per second that the leaf can take while it is cold; none
+    /// if there is no limit.
+    pub fn set_cold_share(&self, share: Option<u32>) {
+        self.availability.set_cold_share(share);
     }
 
-    /// Bounds the requests at a time by this daemon's part of the leaf's connections.
+    /// Limits concurrent requests to this daemon's share of the leaf's connections.
     pub fn set_share(&self, share: ConnectionShare) {
         self.connections.set_share(share);
     }
@@ -181,13 +181,13 @@
         &self.connections
     }
 
-    /// What the choice of a leaf needs to know.
+    /// The leaf's properties that the choice among leafs depends on.
     pub fn candidate(&self, now: Moment) -> Candidate {
         let usual_gap = self.connections.usual_gap().unwrap_or(Duration::MAX);
         Candidate {
             verdict: self.verdict(now),
             distance: self.location.distance,
-            round_trip: self.way(),
+            round_trip: self.round_trip(),
             in_flight: self.in_flight.get(),
             limit: self.connections.limit(),
             is_reserve: self.connections.is_reserve(),
@@ -198,12 +198,12 @@
         }
     }
 
-    /// Whether the leaf may get a new request, by its breaker and by what other daemons say.
+    /// Whether the leaf may get a new request, by its circuit breaker and by reports of other daemons.
     pub fn verdict(&self, now: Moment) -> BreakerVerdict {
         self.health.verdict(now)
     }
 
-    /// Takes in what another daemon says of the leaf.
+    /// Applies a report of another daemon on the leaf.
     pub fn on_report(&self, report: &LeafReport) {
         self.health.on_report(Clock.now(), report);
     }
@@ -213,12 +213,12 @@
         OpenAttempt::begin(Rc::clone(self))
     }
 
-    /// Counts an attempt that begins.
+    /// Counts an attempt that starts.
     pub(super) fn on_begin(&self) {
         self.in_flight.set(self.in_flight.get() + 1);
     }
 
-    /// Notes that a request is handed to a connection.
+    /// Records that a request is handed to a connection.
     pub(super) fn on_sent(&self, now: Moment) {
         self.connections.on_sent(now);
         self.health.on_sent(now);
@@ -234,17 +234,17 @@
         }
     }
 
-    /// Time for the way there and back.
-    pub fn way(&self) -> Duration {
+    /// Round-trip time to the leaf.
+    pub fn round_trip(&self) -> Duration {
         let unmeasured = match self.location.distance {
-            Distance::Zone => UNMEASURED_ZONE_WAY,
-            Distance::Region => UNMEASURED_REGION_WAY,
-            Distance::Remote => UNMEASURED_REMOTE_WAY,
+            Distance::Zone => UNMEASURED_ZONE_ROUND_TRIP,
+            Distance::Region => UNMEASURED_REGION_ROUND_TRIP,
+            Distance::Remote => UNMEASURED_REMOTE_ROUND_TRIP,
         };
-        self.connections.measured_way().unwrap_or(unmeasured)
+        self.connections.measured_round_trip().unwrap_or(unmeasured)
     }
 
-    /// Notes that an attempt sent at `sent` is overdue. Returns a report for other daemons.
+    /// Records that an attempt sent at `sent` is overdue. Returns a report for other daemons.
     pub fn on_overdue(
         &self,
         sent: Moment,
@@ -256,27 +256,27 @@
             .on_overdue(leaf, Clock.now(), sent, delay, typical)
     }
 
-    /// Notes that the leaf could not be reached.
+    /// Records that the leaf could not be reached.
     pub fn on_unreachable(&self, delay: Duration) {
         let leaf = &self.entry().run();
         self.health.on_unreachable(leaf, Clock.now(), delay);
     }
 
-    /// Notes whether an attempt failed.
-    pub fn note_end(&self, failed: bool) {
-        self.health.note_end(Clock.now(), failed);
+    /// Records whether an attempt failed.
+    pub fn record_end(&self, failed: bool) {
+        self.health.record_end(Clock.now(), failed);
     }
 
-    /// Notes that a connection was reset, or closed, instead of an answer to a request.
-    pub fn on_connection_lost(&self, rested: Option<Duration>) {
-        if self.connections.on_lost(Clock.now(), rested) {
+    /// Records that a connection was reset, or closed, instead of an answer to a request.
+    pub fn on_connection_lost(&self, idle_time: Option<Duration>) {
+        if self.connections.on_lost(Clock.now(), idle_time) {
             log::info!(leaf = self.entry().leaf.as_str(); "leaf resets new connections");
         }
     }
 
     /// The requests whose connections to the leaf were lost.
-    pub(crate) fn lost_runs(&self) -> &LostRuns {
-        &self.lost_runs
+    pub(crate) fn lost_requests(&self) -> &LostRequests {
+        &self.lost_requests
     }
 
     /// Whether the leaf has answered a request since `moment`.
@@ -284,18 +284,17 @@
         self.health.answered_at() > moment
     }
 
-    /// Whether the leaf said that it is leaving.
+    /// Whether the leaf announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.availability.is_leaving()
     }
 
-    /// Whether the leaf's entry went without a word of leaving, while the source could be heard.
+    /// Whether the leaf's entry disappeared unannounced while the source was available.
     pub fn has_vanished(&self) -> bool {
         self.availability.has_vanished()
     }
 
-    /// Notes an answer that took `latency`, of a kind that typically takes `typical`. Returns
-    /// reports for other daemons.
+    /// Records an answer that took `latency` where `typical` is usual. Returns reports for other daemons.
     pub fn on_answer(
         &self,
         sent: Moment,
@@ -309,12 +308,12 @@
             .on_answer(leaf, Clock.now(), sent, timely, ratio)
     }
 
-    /// Notes an answer on a connection that had been kept.
+    /// Records an answer on a connection that had been kept.
     pub fn on_kept_answer(&self, now: Moment) {
         self.connections.on_kept_answer(now);
     }
 
-    /// Notes that the answer to a request sent at `sent` is overdue on a connection that had been kept.
+    /// Records that the answer to a request sent at `sent` is overdue on a connection that had been kept.
     pub fn on_kept_overdue(&self, now: Moment, sent: Moment) {
         if self.connections.on_kept_overdue(now, sent) {
             log::info!(leaf = self.entry().leaf.as_str(); "kept connections silent, closed");
@@ -326,8 +325,8 @@
         self.connections.close_idle();
     }
 
-    /// Takes back a connection whose last answer was read whole. The leaf closes it after
-    /// `idle_limit`, if it says so.
+    /// Returns a connection whose last answer was read completely. The leaf closes it after
+    /// `idle_limit`, if it states one.
     pub fn give_back(&self, connection: HttpConnection, idle_limit: Option<Duration>) {
         let now = Clock.now();
         let is_regular = self.eligibility(now, Duration::ZERO) == Eligibility::Regular;
@@ -336,10 +335,10 @@
         }
     }
 
-    /// Closes idle connections past their time.
+    /// Closes idle connections that have expired.
     pub fn close_expired(&self, now: Moment) {
         self.connections.close_expired(now);
-        self.lost_runs.forget_abandoned(now);
+        self.lost_requests.drop_expired_abandoned(now);
     }
 
     /// Number of idle connections.
--- a/crates/tansylead-gateway/src/leaf/mod.rs
+++ b/crates/tansylead-gateway/src/leaf/mod.rs
@@ -1,4 +1,4 @@
-//! Leafs as this daemon knows them: connections, load, soundness, and single attempts.
+//! State of leafs at this daemon: connections, load, health, and single attempts.
 
 mod attempt;
 mod end_check;
@@ -7,13 +7,13 @@
 mod leaf_connections;
 mod leaf_health;
 mod leaf_state;
-mod lost_runs;
+mod lost_requests;
 mod open_attempt;
 mod service_state;
 
 pub use attempt::{AttemptEnd, HandOver, OutgoingRequest, run_attempt};
-pub use end_check::{EndSign, Probe, probe, watch_entry};
+pub use end_check::{EndEvidence, Probe, probe, watch_entry};
 pub use leaf_state::LeafState;
-pub use lost_runs::{LostRun, LostRuns};
+pub use lost_requests::{LostRequest, LostRequests};
 pub use open_attempt::OpenAttempt;
 pub use service_state::ServiceState;
--- a/crates/tansylead-gateway/src/leaf/open_attempt.rs
+++ b/crates/tansylead-gateway/src/leaf/open_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt in flight at a leaf, counted from its begin to its end.
+//! One attempt in flight at a leaf, counted from start to end.
 
 use super::leaf_state::LeafState;
 use crate::roll_out::{SendEnd, SendTerms, VersionSend};
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Notes that the request is handed to a connection now. What a grant allows is used up here, so
-    /// nothing may be waited for between the last look at the leaf and this.
+    /// Records that the request is handed to a connection now. This uses up what a grant allows, so there
+    /// must be no await between the last check of the leaf and this call.
     pub fn set_sent(&self, now: Moment, terms: &SendTerms) {
         self.sent.set(Some(now));
         self.end_wait();
@@ -45,7 +45,7 @@
         self.leaf.on_sent(now);
     }
 
-    /// Notes how the attempt ended.
+    /// Records how the attempt ended.
     pub fn set_end(&self, end: SendEnd) {
         if let Some(send) = self.version_send.get() {
             send.set_end(end);
--- a/crates/tansylead-gateway/src/leaf/service_state.rs
+++ b/crates/tansylead-gateway/src/leaf/service_state.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of one service: its leafs and its budget of extra attempts.
+//! State of one service: its leafs and its budget of extra attempts.
 
 use super::leaf_state::LeafState;
 use crate::clock::Clock;
@@ -13,19 +13,19 @@
 };
 use tansylead_types::{LeafId, Moment, ServiceName};
 
-/// One service.
+/// State of one service at this daemon.
 #[derive(Debug)]
 pub struct ServiceState {
     name: ServiceName,
-    /// Leafs with an entry, and those whose entries went missing lately.
+    /// Leafs with an entry, and those whose entries disappeared recently.
     leafs: RefCell<Vec<Rc<LeafState>>>,
     missing_grace: Duration,
     budget: RefCell<RetryBudget>,
-    /// This daemon's part of the slack of extra attempts.
+    /// This daemon's share of the retry budget's slack.
     slack_share: Cell<f64>,
-    /// Software versions of the leafs, and the order to roll out that stands.
+    /// Software versions of the leafs, and the current roll-out order.
     versions: Rc<ServiceVersions>,
-    /// Count of changes of the shares_version daemons up to which parts were computed; none if they must be anew.
+    /// Version of the shares that were computed last; none if they must be computed again.
     shares_version: Cell<Option<u64>>,
 }
 
@@ -48,40 +48,40 @@
         }
     }
 
-    /// Name.
+    /// Name of the service.
     pub fn name(&self) -> &ServiceName {
         &self.name
     }
 
-    /// What is known of the versions of its leafs.
+    /// Software versions of its leafs.
     pub fn versions(&self) -> &Rc<ServiceVersions> {
         &self.versions
     }
 
-    /// Count of changes of the shares_version daemons up to which this daemon's parts were computed.
+    /// Version of the shares that were computed last; none if they must be computed again.
     pub fn shares_version(&self) -> Option<u64> {
         self.shares_version.get()
     }
 
-    /// Notes that the parts are computed up to this change, or must be computed anew.
+    /// Sets the version of the shares that were computed last; none if they must be computed again.
     pub fn set_shares_version(&self, version: Option<u64>) {
         self.shares_version.set(version);
     }
 
     /// Adds a leaf.
     pub fn add(&self, leaf: Rc<LeafState>) {
-        self.forget_gone();
+        self.remove_expired();
         self.leafs.borrow_mut().push(leaf);
     }
 
-    /// A run of a leaf whose entry went missing lately.
+    /// Finds a run of a leaf whose entry disappeared recently.
     pub fn missing(&self, run: &LeafRun) -> Option<Rc<LeafState>> {
         let leafs = self.leafs.borrow();
         let mut missing = leafs.iter().filter(|leaf| !leaf.is_listed());
         missing.find(|leaf| leaf.entry().run() == *run).cloned()
     }
 
-    /// Notes that the runs of a leaf before this one are over, though their entries only went missing.
+    /// Marks earlier runs of the leaf, which are kept because their entries are only missing, as replaced.
     pub fn end_earlier_runs(&self, run: &LeafRun) {
         for leaf in self.leafs.borrow().iter() {
             let held = leaf.entry().run();
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Forgets leafs whose entries have been missing for too long.
-    pub fn forget_gone(&self) {
+    /// Removes leafs whose entries have been missing for too long.
+    pub fn remove_expired(&self) {
         let now = Clock.now();
         let is_kept = |leaf: &Rc<LeafState>| {
             leaf.is_listed() || leaf.eligibility(now, self.missing_grace) < Eligibility::Ineligible
@@ -100,15 +100,15 @@
         self.leafs.borrow_mut().retain(is_kept);
     }
 
-    /// Closes idle connections past their time.
+    /// Closes idle connections that have expired.
     pub fn close_expired(&self, now: Moment) {
-        self.forget_gone();
+        self.remove_expired();
         for leaf in self.leafs.borrow().iter() {
             leaf.close_expired(now);
         }
     }
 
-    /// Leafs that may be used like any other.
+    /// Leafs that may be used without restriction.
     pub fn regular(&self) -> Vec<Rc<LeafState>> {
         let now = Clock.now();
         let leafs = self.leafs.borrow();
@@ -118,7 +118,7 @@
         regular.cloned().collect()
     }
 
-    /// Whether any leaf may be sent requests that are confined to `homes`.
+    /// Whether any leaf may be sent requests that are restricted to `homes`.
     pub fn has_leafs(&self, homes: &HomeRegions) -> bool {
         let now = Clock.now();
         let leafs = self.leafs.borrow();
@@ -128,15 +128,15 @@
         eligibilities.any(|eligibility| eligibility < Eligibility::Ineligible)
     }
 
-    /// Leafs with an entry, and those whose entries went missing lately.
+    /// Leafs with an entry, and those whose entries disappeared recently.
     pub(crate) fn all(&self) -> Vec<Rc<LeafState>> {
         self.leafs.borrow().clone()
     }
 
-    /// The best leaf for the first attempt of a request that is confined to `homes` and typically takes
-    /// `typical`, of those that are not in `excluded`. Leafs that are the last resort come only if no
-    /// leaf of the service is regular. Leafs of a version under trial come first, as far as the request
-    /// should go there and one of them is sound; otherwise they are the last resort.
+    /// The best leaf for the first attempt of a request that is restricted to `homes` and typically takes
+    /// `typical`, except those in `excluded`. Last-resort leafs are used only if no leaf of the service is
+    /// regular. Leafs of a version under trial are preferred if the request should go there and one of
+    /// them is healthy; otherwise they are the last resort.
     pub fn choose(
         &self,
         homes: &HomeRegions,
@@ -146,7 +146,7 @@
         self.choose_for(true, homes, excluded, typical)
     }
 
-    /// The same for any further attempt.
+    /// As `choose`, for any further attempt.
     pub fn choose_further(
         &self,
         homes: &HomeRegions,
@@ -172,7 +172,7 @@
                 leaf.trial_stage().is_some() && eligibility_for(leaf) == Eligibility::Regular
             });
             let target = best(targets, excluded, typical, now);
-            if let Some(target) = target.filter(|leaf| can_take_trial(leaf, stage, now)) {
+            if let Some(target) = target.filter(|leaf| may_take_trial(leaf, stage, now)) {
                 return Some(target);
             }
         }
@@ -190,12 +190,12 @@
         best(usable, excluded, typical, now)
     }
 
-    /// Notes a request to the service.
+    /// Counts a request to the service.
     pub fn on_request(&self) {
         self.budget.borrow_mut().on_request(Clock.now());
     }
 
-    /// Sets this daemon's part of the slack of extra attempts, 0 to 1.
+    /// Sets this daemon's share of the retry budget's slack, 0 to 1.
     pub fn set_slack_share(&self, share: f64) {
         self.slack_share.set(share);
     }
@@ -207,14 +207,14 @@
     }
 }
 
-/// Whether a leaf of a version under trial is sound enough to be preferred. In `Trial` a request does not
-/// wait there for others to end; in `Shift` that is where all of them go.
-fn can_take_trial(leaf: &LeafState, stage: Stage, now: Moment) -> bool {
+/// Whether a leaf of a version under trial is healthy enough to be preferred. In `Trial` a request does not
+/// queue there behind others; in `Shift` all requests go there.
+fn may_take_trial(leaf: &LeafState, stage: Stage, now: Moment) -> bool {
     let candidate = leaf.candidate(now);
-    let is_sound = candidate.verdict != BreakerVerdict::Avoid;
+    let is_healthy = candidate.verdict != BreakerVerdict::Avoid;
     let is_reachable = candidate.has_idle_connection || !candidate.resets_connections;
     let has_room = stage != Stage::Trial || candidate.in_flight < candidate.limit;
-    is_sound && is_reachable && has_room
+    is_healthy && is_reachable && has_room
 }
 
 fn best<'a>(
--- a/crates/tansylead-gateway/src/quarantine/leaf_ends.rs
+++ b/crates/tansylead-gateway/src/quarantine/leaf_ends.rs
@@ -1,6 +1,6 @@
 //! Looks whether a leaf has ended under the requests whose connections to it were lost.
 
-use crate::leaf::{EndSign, LeafState, LostRun, Probe, probe, watch_entry};
+use crate::leaf::{EndEvidence, LeafState, LostRequest, Probe, probe, watch_entry};
 use crate::state::Gateway;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 const MAXIMUM_TOLD: usize = 4;
 
 /// Notes that the connection to a leaf was lost under a request, and looks whether the leaf has ended.
-pub(crate) fn on_lost(gateway: &Rc<Gateway>, leaf: &Rc<LeafState>, run: LostRun) {
-    if leaf.lost_runs().add(run) {
+pub(crate) fn on_lost(gateway: &Rc<Gateway>, leaf: &Rc<LeafState>, run: LostRequest) {
+    if leaf.lost_requests().add(run) {
         let (gateway, leaf) = (Rc::clone(gateway), Rc::clone(leaf));
         spawn_local(check(gateway, leaf));
     }
@@ -20,14 +20,19 @@
 
 async fn check(gateway: Rc<Gateway>, leaf: Rc<LeafState>) {
     let probed = probe(&leaf).await;
-    let runs = leaf.lost_runs().take_unprobed();
+    let runs = leaf.lost_requests().take_unprobed();
     match probed {
         Probe::Refused => {
-            let watched = leaf.lost_runs().take_watched();
+            let watched = leaf.lost_requests().take_watched();
             for run in &runs {
                 run.care.on_checked(!leaf.is_leaving());
             }
-            on_ended(&gateway, &leaf, EndSign::Refused, &[watched, runs].concat());
+            on_ended(
+                &gateway,
+                &leaf,
+                EndEvidence::Refused,
+                &[watched, runs].concat(),
+            );
         }
         Probe::Open => {
             for run in &runs {
@@ -36,11 +41,11 @@
             let Some(lost) = runs.iter().map(|run| run.lost).min() else {
                 return;
             };
-            if !leaf.lost_runs().watch(runs) {
+            if !leaf.lost_requests().watch(runs) {
                 return;
             }
             let sign = watch_entry(&leaf, lost).await;
-            let watched = leaf.lost_runs().end_watch();
+            let watched = leaf.lost_requests().end_watch();
             if let Some(sign) = sign {
                 on_ended(&gateway, &leaf, sign, &watched);
             }
@@ -50,14 +55,14 @@
 
 /// A leaf has ended under requests: a strike against each that no leaf has answered. One that said it was leaving
 /// has ended for that.
-fn on_ended(gateway: &Gateway, leaf: &LeafState, sign: EndSign, runs: &[LostRun]) {
+fn on_ended(gateway: &Gateway, leaf: &LeafState, sign: EndEvidence, runs: &[LostRequest]) {
     if leaf.is_leaving() {
         return;
     }
     tell(gateway, leaf, sign, runs);
     let ended = leaf.entry().run();
     let lost = runs.iter().map(|run| run.lost).min();
-    let abandoned = lost.map_or(Vec::new(), |lost| leaf.lost_runs().take_abandoned(lost));
+    let abandoned = lost.map_or(Vec::new(), |lost| leaf.lost_requests().take_abandoned(lost));
     for run in runs
         .iter()
         .chain(&abandoned)
@@ -72,7 +77,7 @@
     }
 }
 
-fn tell(gateway: &Gateway, leaf: &LeafState, sign: EndSign, runs: &[LostRun]) {
+fn tell(gateway: &Gateway, leaf: &LeafState, sign: EndEvidence, runs: &[LostRequest]) {
     gateway.metrics.on_leaf_ended(sign.label());
     let fingerprints: BTreeSet<RequestFingerprint> =
         runs.iter().map(|run| run.fingerprints.exact).collect();
--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -229,7 +229,7 @@
         leaf.set_replaced();
         self.leafs.borrow_mut().remove(&leaf.entry().leaf);
         if let Some(service) = self.services.borrow().get(&leaf.entry().service) {
-            service.forget_gone();
+            service.remove_expired();
             service.set_shares_version(None);
         }
     }
@@ -250,7 +250,7 @@
         }
         let service = self.services.borrow().get(&leaf.entry().service).cloned();
         if let Some(service) = &service {
-            service.forget_gone();
+            service.remove_expired();
         }
         service
     }
--- a/crates/tansylead-gateway/tests/quarantine.rs
+++ b/crates/tansylead-gateway/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tansylead_gateway::leaf::{LostRun, LostRuns};
+use tansylead_gateway::leaf::{LostRequest, LostRequests};
 use tansylead_gateway::quarantine::{
     KeptChange, QuarantineMessage, QuarantineState, SendAdmission, SendCare,
 };
@@ -228,9 +228,9 @@
 
 #[test]
 fn a_leaf_that_ends_after_a_request_was_given_up_counts_for_a_while() {
-    let leaf_runs = LostRuns::default();
+    let leaf_runs = LostRequests::default();
     let now = Clock.now();
-    let given_up = |at| LostRun {
+    let given_up = |at| LostRequest {
         fingerprints: fatal(),
         sent: at - Duration::from_millis(30),
         lost: at,
