--- a/crates/tansylead-gateway/src/caller/handler.rs
+++ b/crates/tansylead-gateway/src/caller/handler.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: finds its route, bounds it, runs it, and writes the answer.
+//! One request of a caller: finds its route, checks its limits, runs it, and writes the answer.
 
 use super::panic_guard::catch_panic;
 use crate::clock::Clock;
@@ -23,13 +23,13 @@
 use tansylead_route::{CallerLimits, RequestIdentity, Route, Target, retry_after_outage};
 use tansylead_types::Moment;
 
-/// How long a caller is taken to wait if it does not say so and no route does either.
+/// How long a caller is assumed to wait if neither the request nor a route states it.
 const UNSTATED_TIME_LEFT: Duration = Duration::from_secs(1);
 
 /// A request whose head has been read.
 struct Received {
     request: Request<Incoming>,
-    /// The caller's id of it.
+    /// The caller's id of the request.
     id: Option<HeaderValue>,
     /// Address of the caller.
     caller: IpAddr,
@@ -70,11 +70,11 @@
     gateway.wait_until_known().await;
     let stated = stated_time_left(gateway, &request);
     let Some(active) = gateway.active() else {
-        let waits = stated.unwrap_or(UNSTATED_TIME_LEFT);
-        let waits = waits.saturating_sub(Clock.now().since(arrived));
+        let time_left = stated.unwrap_or(UNSTATED_TIME_LEFT);
+        let time_left = time_left.saturating_sub(Clock.now().since(arrived));
         let refusal = Refusal {
             reason: RefusalReason::NoConfiguration,
-            retry_after: Some(retry_after_outage(waits)),
+            retry_after: Some(retry_after_outage(time_left)),
         };
         return Outcome::Refused(refusal);
     };
@@ -91,7 +91,7 @@
         return refused(RefusalReason::NoRequestId);
     }
     let time_left = stated.unwrap_or(route.policy.timeout);
-    // A caller that has gone silent midway would hold its connection for good.
+    // Without a limit, a caller that goes silent in mid-body would hold its connection forever.
     let end = arrived + time_left.min(route.policy.timeout);
     let reading = read_request(request, id, caller, limits, &route);
     let read = Clock.timeout_at(end, reading).await;
@@ -183,7 +183,7 @@
     }
 }
 
-/// How long the caller waits, if it says so.
+/// How long the caller waits, if the request states it.
 fn stated_time_left(gateway: &Gateway, request: &Request<Incoming>) -> Option<Duration> {
     let stated = gateway.names.time_left(request.headers());
     stated.unwrap_or_else(|_| {
@@ -205,7 +205,7 @@
     Some(Arc::clone(route))
 }
 
-/// Bytes of request line and headers, as they were on the wire but for spaces.
+/// Size of request target and headers on the wire, apart from optional whitespace.
 fn header_bytes(request: &Request<Incoming>) -> usize {
     const SEPARATORS: usize = 4;
     let target = request
--- a/crates/tansylead-gateway/src/caller/mod.rs
+++ b/crates/tansylead-gateway/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' side: connections, requests, readiness.
+//! Serves callers: connections, requests, readiness.
 
 mod handler;
 mod panic_guard;
--- a/crates/tansylead-gateway/src/caller/panic_guard.rs
+++ b/crates/tansylead-gateway/src/caller/panic_guard.rs
@@ -1,4 +1,4 @@
-//! Keeps a panic within the request in which it arises.
+//! Contains a panic within the request in which it occurs.
 
 use futures_util::FutureExt;
 use std::future::Future;
@@ -9,8 +9,8 @@
 #[error("the request panicked")]
 pub struct RequestPanic;
 
-/// Runs the future of one request; a panic in it ends the request and nothing else. Borrows of the
-/// shared state are released while the panic unwinds.
+/// Runs the future of one request; a panic in it ends the request and nothing else. Borrows of
+/// shared state are released as the panic unwinds.
 pub async fn catch_panic<T>(future: impl Future<Output = T>) -> Result<T, RequestPanic> {
     let guarded = AssertUnwindSafe(future).catch_unwind();
     guarded.await.map_err(|_| RequestPanic)
--- a/crates/tansylead-gateway/src/caller/ready.rs
+++ b/crates/tansylead-gateway/src/caller/ready.rs
@@ -1,4 +1,4 @@
-//! Tells load balancers whether this daemon takes callers.
+//! Readiness endpoint: whether load balancers should send callers to this daemon.
 
 use crate::listener::{accept_each, bind};
 use crate::state::{Gateway, StopPhase};
--- a/crates/tansylead-gateway/src/caller/server.rs
+++ b/crates/tansylead-gateway/src/caller/server.rs
@@ -1,6 +1,6 @@
-//! Accepts callers, and stops without cutting any request.
+//! Accepts callers, and stops without interrupting any request.
 //!
-//! Invariant: a connection is closed only between requests, unless its time is up.
+//! Invariant: a connection is closed only between requests, unless its time limit has expired.
 
 use super::handler::handle;
 use crate::clock::Clock;
@@ -19,11 +19,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Idle time before a configuration states one.
+/// Idle timeout until a configuration sets one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A connection that was asked to close is dropped after this time without a request.
 const CLOSE_LIMIT: Duration = Duration::from_secs(1);
-/// Bytes buffered for one connection; headers must fit.
+/// Buffer size per connection; headers must fit.
 const BUFFER_BYTES: usize = 32 * 1024;
 
 /// The listener for callers.
@@ -33,7 +33,7 @@
     gateway: Rc<Gateway>,
 }
 
-/// What the watchdog of a connection looks at.
+/// Activity of a connection, for its idle timeout.
 #[derive(Debug)]
 struct Activity {
     requests: Cell<u32>,
@@ -83,7 +83,7 @@
     tokio::pin!(connection);
     tokio::select! {
         ended = connection.as_mut() => {
-            // Failures of a caller's connection concern that caller alone.
+            // A failed connection affects only its own caller.
             if ended.is_err_and(|error| error.is_parse()) {
                 gateway.metrics.on_bad_input(BadInput::CallerBytes);
             }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Waits until the connection has rested too long, or is to be closed by a planned stop.
+/// Waits until the connection has been idle too long, or a planned stop is to close it.
 async fn until_idle_too_long(gateway: &Gateway, activity: &Activity) {
     let mut stop = gateway.stop_phases();
     loop {
--- a/crates/tansylead-gateway/src/execution/at_root.rs
+++ b/crates/tansylead-gateway/src/execution/at_root.rs
@@ -1,8 +1,8 @@
 //! A query over shards that a root of the region runs for this daemon.
 //!
-//! Invariants: only what may be repeated is handed on, and nothing that the regions of its route keep
-//! away from here; a query that a root may have run is not run here as well, since its attempts count
-//! against the route's.
+//! Invariants: only queries that may be repeated are forwarded, and none whose route is restricted to other
+//! regions; a query that a root may have run is not run here as well, since the root's attempts count
+//! against the limit of the route.
 
 use super::outcome::{Outcome, Refusal, RefusalReason};
 use crate::clock::Clock;
@@ -16,10 +16,10 @@
 use tansylead_route::{Route, Target};
 use tansylead_types::Moment;
 
-/// Part of the objective within which a connection to a root must come up.
+/// Share of the objective within which a connection to a root must be established.
 const CONNECT_SHARE: f64 = 0.15;
-/// A root that has answered nothing for this many objectives is not waited for any longer: the caller
-/// can still ask again.
+/// After this many objectives without any answer from a root, it is given up: the caller still has time to
+/// retry.
 const SILENCE_OBJECTIVES: u32 = 2;
 
 /// A query that could be run at a root.
@@ -29,7 +29,7 @@
     pub gateway: &'a Rc<Gateway>,
     /// Route of the query.
     pub route: &'a Route,
-    /// Version of the configuration that the route is of.
+    /// Version of the configuration that the route was found in.
     pub version: u64,
     /// The query.
     pub request: &'a OutgoingRequest,
@@ -37,18 +37,18 @@
     pub arrived: Moment,
     /// How long the caller waits, from its arrival.
     pub time_left: Duration,
-    /// Its decisions.
+    /// Trace of the decisions for the query.
     pub trace: &'a RequestTrace,
 }
 
 impl QueryAtRoot<'_> {
-    /// Has a root run the query. None if nothing has run: then this daemon runs it.
+    /// Lets a root run the query. None if it has not run: then this daemon runs it.
     pub async fn run(&self) -> Option<Outcome> {
         let root = self.choose()?;
         self.trace.set_root(root.address());
         let objective = self.route.policy.objective;
         let sent = Clock.now();
-        let held = sent.since(self.arrived);
+        let elapsed = sent.since(self.arrived);
         let cluster = &self.gateway.settings.cluster;
         let host = &self.route.host;
         let query = ForwardedQuery::new(
@@ -56,12 +56,12 @@
             self.version,
             host,
             self.request,
-            held,
+            elapsed,
             self.time_left,
         );
-        let asking = root.ask(query, objective.mul_f64(CONNECT_SHARE));
-        let waited = self.wait(&root, sent, asking).await;
-        self.finish(&root, sent, waited)
+        let exchange = root.ask(query, objective.mul_f64(CONNECT_SHARE));
+        let wait_end = self.wait(&root, sent, exchange).await;
+        self.finish(&root, sent, wait_end)
     }
 
     fn choose(&self) -> Option<Rc<RootPeer>> {
@@ -77,13 +77,13 @@
         gateway.roots.choose(Clock.now(), &gateway.settings.zone)
     }
 
-    /// Waits for the reply, at most until the end of the query, and not for a root that is silent.
+    /// Waits for the reply until the end of the query, or until the root is found silent.
     async fn wait(
         &self,
         root: &RootPeer,
         sent: Moment,
-        asking: impl Future<Output = Result<ForwardedReply, AskError>>,
-    ) -> Waited {
+        exchange: impl Future<Output = Result<ForwardedReply, AskError>>,
+    ) -> WaitEnd {
         let policy = &self.route.policy;
         let objective = policy.objective;
         let end = self.arrived + policy.timeout.min(self.time_left);
@@ -91,12 +91,12 @@
         let silence = self.arrived + objective * SILENCE_OBJECTIVES;
         let silence = Clock.sleep_until(silence);
         let end = Clock.sleep_until(end);
-        tokio::pin!(asking, overdue, silence, end);
+        tokio::pin!(exchange, overdue, silence, end);
         let (mut is_overdue, mut is_past_silence) = (false, false);
         loop {
             tokio::select! {
                 biased;
-                reply = &mut asking => return Waited::Replied { reply, is_overdue },
+                reply = &mut exchange => return WaitEnd::Replied { reply, is_overdue },
                 () = &mut overdue, if !is_overdue => {
                     is_overdue = true;
                     root.on_overdue(sent, objective);
@@ -104,18 +104,18 @@
                 () = &mut silence, if !is_past_silence => {
                     is_past_silence = true;
                     if root.is_silent_since(sent) {
-                        return Waited::Silent;
+                        return WaitEnd::Silent;
                     }
                 }
-                () = &mut end => return Waited::TimedOut,
+                () = &mut end => return WaitEnd::TimedOut,
             }
         }
     }
 
-    fn finish(&self, root: &RootPeer, sent: Moment, waited: Waited) -> Option<Outcome> {
+    fn finish(&self, root: &RootPeer, sent: Moment, wait_end: WaitEnd) -> Option<Outcome> {
         let refused = |reason| Some(Outcome::Refused(Refusal::new(reason)));
-        let (result, outcome) = match waited {
-            Waited::Replied {
+        let (result, outcome) = match wait_end {
+            WaitEnd::Replied {
                 reply: Ok(reply),
                 is_overdue,
             } => {
@@ -128,7 +128,7 @@
                     None => (ForwardedResult::Declined, None),
                 }
             }
-            Waited::Replied {
+            WaitEnd::Replied {
                 reply: Err(AskError::NotSent(error)),
                 ..
             } => {
@@ -136,7 +136,7 @@
                 root.on_unreachable(self.route.policy.objective);
                 (ForwardedResult::NotSent, None)
             }
-            Waited::Replied {
+            WaitEnd::Replied {
                 reply: Err(AskError::MaybeRun(error)),
                 ..
             } => {
@@ -144,8 +144,8 @@
                 root.on_unreachable(self.route.policy.objective);
                 (ForwardedResult::Failed, refused(RefusalReason::Failed))
             }
-            Waited::Silent => (ForwardedResult::Silent, refused(RefusalReason::Failed)),
-            Waited::TimedOut => (ForwardedResult::TimedOut, refused(RefusalReason::TimedOut)),
+            WaitEnd::Silent => (ForwardedResult::Silent, refused(RefusalReason::Failed)),
+            WaitEnd::TimedOut => (ForwardedResult::TimedOut, refused(RefusalReason::TimedOut)),
         };
         self.gateway.metrics.on_forwarded(result);
         if outcome.is_none() {
@@ -155,15 +155,15 @@
     }
 }
 
-/// How waiting for a root ended.
-enum Waited {
-    /// With a reply, or a connection that ended.
+/// How the wait for a root ended.
+enum WaitEnd {
+    /// A reply arrived or the connection ended.
     Replied {
         reply: Result<ForwardedReply, AskError>,
         is_overdue: bool,
     },
-    /// The root answers nobody.
+    /// The root has answered no query since this one was sent.
     Silent,
-    /// The time is up.
+    /// The end of the query was reached.
     TimedOut,
 }
--- a/crates/tansylead-gateway/src/execution/attempts.rs
+++ b/crates/tansylead-gateway/src/execution/attempts.rs
@@ -1,7 +1,7 @@
-//! The attempts of one call that are under way.
+//! The attempts of one call that are in flight.
 //!
-//! Dropping an attempt ends it, connection and all: the caller has gone. A call that has its
-//! answer leaves the others to finish instead, for a while: cutting them would cost a connection
+//! Dropping an attempt ends it and closes its connection: the caller has gone. A call that has its
+//! answer lets the others finish instead, for a while: cancelling them would cost a connection
 //! each and save the leaf nothing.
 
 use crate::clock::Clock;
@@ -18,13 +18,13 @@
 use tokio::task::spawn_local;
 use tokio_util::task::AbortOnDropHandle;
 
-/// One attempt under way.
+/// One attempt in flight.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) leaf: Rc<LeafState>,
     pub(super) started: Moment,
     pub(super) sent: Rc<Cell<Option<HandOver>>>,
-    /// When an answer is overdue; none once that was noted.
+    /// When an answer is overdue; none once that has been handled.
     pub(super) overdue: Option<Moment>,
     /// The delay behind `overdue`.
     pub(super) overdue_delay: Duration,
@@ -63,8 +63,8 @@
         self.sent.get().is_some()
     }
 
-    /// Waits for the end, at most for `limit`; none if it has not come by then. Past the limit the
-    /// attempt is ended.
+    /// Waits for the end, at most for `limit`; none if it has not come by then. Dropping
+    /// the attempt then ends it.
     pub(super) async fn finish_within(&mut self, limit: Duration) -> Option<AttemptEnd> {
         let end = Clock.timeout_at(Clock.now() + limit, &mut self.task).await;
         self.has_ended = end.is_ok();
@@ -73,7 +73,7 @@
 }
 
 impl Drop for Attempt {
-    /// An attempt that is given up may end its leaf all the same.
+    /// An attempt that is given up may still make its leaf end.
     fn drop(&mut self) {
         if self.has_ended {
             return;
@@ -90,12 +90,12 @@
     }
 }
 
-/// Waits for the end of any of the attempts and takes that one out.
-pub(super) struct NextEnd<'a> {
+/// Waits for the end of any of the attempts and removes that one.
+pub(super) struct NextAttemptEnd<'a> {
     pub(super) attempts: &'a mut Vec<Attempt>,
 }
 
-impl Future for NextEnd<'_> {
+impl Future for NextAttemptEnd<'_> {
     type Output = (Attempt, Option<AttemptEnd>);
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
--- a/crates/tansylead-gateway/src/execution/call.rs
+++ b/crates/tansylead-gateway/src/execution/call.rs
@@ -1,10 +1,10 @@
-//! One answer of one service: the first attempt, hedges when it is overdue, retries when it fails.
+//! One call of a service: the first attempt, hedges when it is overdue, retries when it fails.
 //!
 //! Invariants: a request that may not be repeated goes to a second leaf only if the first
 //! provably did not run it; extra attempts that may reach a leaf are taken from the service's
 //! budget; no attempt starts after the end.
 
-use super::attempts::{Attempt, NextEnd};
+use super::attempts::{Attempt, NextAttemptEnd};
 use super::call_end::{CallEnd, CallFailure, SharedProgress};
 use super::call_extra::is_avoided;
 use super::leaf_access::LeafAccess;
@@ -22,7 +22,7 @@
 use tansylead_types::{LeafId, Moment};
 use tokio::task::spawn_local;
 
-/// Attempts that may fail before anything was sent; they reach no leaf and cost no budget.
+/// Limit of attempts that fail before anything is sent; they reach no leaf and cost no budget.
 pub(super) const MAXIMUM_NOT_SENT: u32 = 4;
 
 /// One call of one service.
@@ -30,7 +30,7 @@
 pub struct Call {
     /// Shared state.
     pub gateway: Rc<Gateway>,
-    /// Service.
+    /// Service to call.
     pub service: Rc<ServiceState>,
     /// Route of the request.
     pub route: Arc<Route>,
@@ -40,11 +40,11 @@
     pub request: Rc<OutgoingRequest>,
     /// When the call ends, answered or not.
     pub end: Moment,
-    /// Only successes count as answers.
+    /// Whether only successes count as answers.
     pub successes_only: bool,
-    /// What the calls of one request share.
+    /// State shared by the calls of one request.
     pub shared: Rc<SharedProgress>,
-    /// Decisions of the request.
+    /// Trace of the decisions for the request.
     pub trace: Rc<RequestTrace>,
 }
 
@@ -56,7 +56,7 @@
     pub(super) not_sent: u32,
     pub(super) may_have_run: bool,
     pub(super) reply: Option<Reply>,
-    /// An attempt that may not start yet, because leafs end under the request.
+    /// Reason of an attempt that may not start yet, because leafs have ended while running the request.
     pub(super) waiting: Option<AttemptReason>,
     /// Whether any attempt was sent.
     pub(super) is_sent: Rc<Cell<bool>>,
@@ -77,7 +77,7 @@
             is_sent: Rc::default(),
         };
         self.launch(&mut progress, AttemptReason::First, false);
-        while self.goes_on(&mut progress) {
+        while self.advance(&mut progress) {
             let recheck = self.next_recheck(&progress);
             let overdue = progress
                 .attempts
@@ -86,9 +86,9 @@
             let wakeup = overdue.min().unwrap_or(self.end).min(self.end);
             tokio::select! {
                 biased;
-                (attempt, end) = (NextEnd { attempts: &mut progress.attempts }) => {
+                (attempt, end) = (NextAttemptEnd { attempts: &mut progress.attempts }) => {
                     if let Some(reply) = self.on_end(&mut progress, attempt, end) {
-                        self.leave_losers(progress);
+                        self.detach_losers(progress);
                         return CallEnd::Answered(reply);
                     }
                 }
@@ -106,13 +106,13 @@
         self.fail(progress, false)
     }
 
-    /// Starts the attempt that waits, if it may start now. Returns whether an attempt is under way or may come yet.
-    fn goes_on(&self, progress: &mut Progress) -> bool {
+    /// Starts the waiting attempt, if it may start now. Returns whether an attempt is in flight or still waiting.
+    fn advance(&self, progress: &mut Progress) -> bool {
         self.start_waiting(progress);
         !progress.attempts.is_empty() || progress.waiting.is_some()
     }
 
-    /// When to check again whether an attempt that waits may start, if that hangs on time.
+    /// When to check again whether the waiting attempt may start, if that depends on time.
     fn next_recheck(&self, progress: &Progress) -> Option<Moment> {
         progress.waiting.and_then(|_| self.next_trial_recheck())
     }
@@ -126,9 +126,9 @@
         })
     }
 
-    /// Lets attempts whose answers are not needed any more finish: cutting them would cost a
-    /// connection each, and how they end tells something about their leafs.
-    fn leave_losers(&self, progress: Progress) {
+    /// Lets attempts whose answers are no longer needed finish: cancelling them would cost a
+    /// connection each, and how they end is evidence on their leafs.
+    fn detach_losers(&self, progress: Progress) {
         let limit = self.route.policy.objective;
         for mut attempt in progress.attempts.into_iter().filter(Attempt::is_sent) {
             let call = self.clone();
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Starts an attempt at the best leaf not tried yet. Returns whether one was started.
+    /// Starts an attempt at the best untried leaf. Returns whether one was started.
     pub(super) fn launch(
         &self,
         progress: &mut Progress,
         reason: AttemptReason,
-        must_be_sound: bool,
+        must_be_healthy: bool,
     ) -> bool {
         if self.is_over() || !self.is_admitted(progress, reason) {
             return false;
@@ -154,14 +154,14 @@
             self.deny(DenialReason::NoLeaf);
             return false;
         };
-        if must_be_sound && is_avoided(&leaf) {
+        if must_be_healthy && is_avoided(&leaf) {
             return false;
         }
         self.start(progress, leaf, reason);
         true
     }
 
-    /// Whether no attempt may start any more.
+    /// Whether no further attempt may start.
     pub(super) fn is_over(&self) -> bool {
         Clock.now() >= self.end || self.shared.settled.get()
     }
@@ -228,15 +228,15 @@
     ) -> Option<Reply> {
         self.record_end(&attempt, end.as_ref());
         if let Some(AttemptEnd::Lost(_)) = end {
-            self.note_lost(&attempt);
+            self.record_lost(&attempt);
         }
         match end {
             Some(AttemptEnd::Answered(reply)) => {
-                self.note_survived(&reply);
+                self.record_survival(&reply);
                 let failed = reply.status.is_server_error();
                 attempt.leaf.record_end(failed);
                 if !failed {
-                    self.note_answer(&attempt);
+                    self.record_answer(&attempt);
                 }
                 progress.arrivals += 1;
                 progress.may_have_run = true;
@@ -278,7 +278,7 @@
         !failed || !self.route.policy.repeatable
     }
 
-    /// The best leaf not tried yet.
+    /// The best untried leaf.
     pub(super) fn choose(&self, progress: &Progress, is_first: bool) -> Option<Rc<LeafState>> {
         let homes = &self.access.route_in_force().policy.homes;
         let (service, tried, typical) = (&self.service, &progress.tried, self.typical());
--- a/crates/tansylead-gateway/src/execution/call_end.rs
+++ b/crates/tansylead-gateway/src/execution/call_end.rs
@@ -1,18 +1,18 @@
-//! How a call ended, and what the calls of one request share.
+//! How a call ended, and the state shared by the calls of one request.
 
 use crate::quarantine::SendCare;
 use std::cell::Cell;
 use std::rc::Rc;
 use tansylead_http::Reply;
 
-/// What the calls of one request share.
+/// State shared by the calls of one request.
 #[derive(Debug, Default)]
 pub struct SharedProgress {
-    /// Set once the caller has its answer: nothing more is started.
+    /// Set once the request has its answer: no further attempts start.
     pub settled: Cell<bool>,
     /// Whether a leaf has refused an attempt without running it.
     pub was_refused: Cell<bool>,
-    /// Whether leafs end under the request.
+    /// Whether leafs end when they run the request.
     pub care: Rc<SendCare>,
 }
 
@@ -30,7 +30,7 @@
 pub struct CallFailure {
     /// Whether a leaf may have run the request.
     pub may_have_run: bool,
-    /// Whether the time was up.
+    /// Whether the deadline was reached.
     pub timed_out: bool,
     /// The last failure that a leaf answered with.
     pub reply: Option<Reply>,
--- a/crates/tansylead-gateway/src/execution/call_extra.rs
+++ b/crates/tansylead-gateway/src/execution/call_extra.rs
@@ -1,5 +1,5 @@
-//! Further attempts of a call: hedges when an answer is overdue, retries after a failure, and another
-//! leaf where nothing was sent.
+//! Further attempts of a call: hedges when an answer is overdue, retries after a failure, and attempts at
+//! another leaf when nothing was sent.
 
 use super::attempts::Attempt;
 use super::call::{Call, MAXIMUM_NOT_SENT, Progress};
@@ -38,7 +38,7 @@
                         let report = attempt.leaf.on_overdue(sent.at, delay, typical);
                         self.gateway.report(report);
                         if sent.on_kept {
-                            self.note_kept_overdue(attempt, sent.at);
+                            self.record_kept_overdue(attempt, sent.at);
                         }
                     }
                     None => is_stuck_unsent = true,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Goes to another leaf if nothing has reached one: that costs no budget.
+    /// Starts an attempt at another leaf if nothing was sent to any: that costs no budget.
     fn replace_unsent(&self, progress: &mut Progress) {
         progress.not_sent += 1;
         let sent_elsewhere = progress.attempts.iter().any(Attempt::is_sent);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Starts a further attempt that may reach a leaf, if attempts, time and budget allow it.
+    /// Starts a further attempt that may reach a leaf, if the number of attempts, time and budget allow it.
     pub(super) fn launch_extra(&self, progress: &mut Progress, kind: ExtraAttempt) {
         let reason = match kind {
             ExtraAttempt::Hedge => AttemptReason::Hedge,
@@ -80,7 +80,7 @@
         let leaf = self.choose(progress, false);
         let is_hedge = kind == ExtraAttempt::Hedge;
         if is_hedge && leaf.as_ref().is_none_or(is_avoided) {
-            // Waiting on is better than a leaf that does not answer either.
+            // It is better to keep waiting than to try a leaf that does not answer either.
             return self.deny(DenialReason::NoSoundLeaf);
         }
         let open = progress.attempts.iter().filter(|attempt| attempt.is_sent());
@@ -101,7 +101,7 @@
     }
 }
 
-/// Whether a leaf's breaker keeps new requests away from it.
+/// Whether new requests should avoid the leaf.
 pub(super) fn is_avoided(leaf: &Rc<LeafState>) -> bool {
     leaf.verdict(Clock.now()) == BreakerVerdict::Avoid
 }
--- a/crates/tansylead-gateway/src/execution/call_care.rs
+++ b/crates/tansylead-gateway/src/execution/call_quarantine.rs
@@ -1,5 +1,5 @@
-//! The care of a call for leafs that end under its request: when its attempts may start, and what is learned
-//! from how they end. What that means for the request is decided in `quarantine`.
+//! Protects leafs from a request that makes them end: decides when attempts of a call may start, and reports
+//! how they end. `quarantine` decides what that means for the request.
 
 use super::attempts::Attempt;
 use super::call::{Call, Progress};
@@ -14,8 +14,8 @@
 use tansylead_types::Moment;
 
 impl Call {
-    /// Whether an attempt may start, by what is known of leafs that end under the request. If it may later,
-    /// and nothing else of the call is under way, it waits.
+    /// Whether an attempt may start, by the request's quarantine state. If it may start later and no other
+    /// attempt of the call is in flight, it waits.
     pub(super) fn is_admitted(&self, progress: &mut Progress, reason: AttemptReason) -> bool {
         match self.admission() {
             SendAdmission::Now => true,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Starts the attempt that had to wait, if it may start now.
+    /// Starts the waiting attempt, if it may start now.
     pub(super) fn start_waiting(&self, progress: &mut Progress) {
         match progress.waiting.take() {
             None => {}
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Notes that the connection was lost under an attempt: its leaf may have ended.
-    pub(super) fn note_lost(&self, attempt: &Attempt) {
+    /// Records that the connection was lost during an attempt: its leaf may have ended.
+    pub(super) fn record_lost(&self, attempt: &Attempt) {
         let Some(sent) = attempt.sent.get() else {
             return;
         };
@@ -60,9 +60,9 @@
         quarantine::on_lost(&self.gateway, &attempt.leaf, request);
     }
 
-    /// Notes that a leaf has answered after it ran the request, and lives.
-    pub(super) fn note_survived(&self, reply: &Reply) {
-        // A leaf may say so of a request that still waits for a slot when its time is up.
+    /// Records that a leaf has answered after it ran the request, and is alive.
+    pub(super) fn record_survival(&self, reply: &Reply) {
+        // A leaf may also answer this for a request that was still queued for a slot at its deadline.
         if reply.status == StatusCode::GATEWAY_TIMEOUT {
             return;
         }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether an attempt may start now, by what is known of leafs that end under the request.
+    /// Whether an attempt may start now, by the request's quarantine state.
     pub(super) fn admission(&self) -> SendAdmission {
         let admission = self.shared.care.admission(self.quarantine_verdict());
         match admission {
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Whether a suspect may be tried now: not while another daemon tries it, and not for long after.
+    /// Whether a suspect request may be tried now: later while another daemon tries it, never once it has
+    /// waited too long.
     fn trial_admission(&self) -> SendAdmission {
         let care = &self.shared.care;
         if !self.is_untried_suspect() {
@@ -103,7 +104,7 @@
         is_suspect && !care.is_tried() && !care.is_answered()
     }
 
-    /// When to check again whether a suspect may be tried; none if it may be now.
+    /// When to check again whether a suspect request may be tried; none if it may be tried now.
     pub(super) fn next_trial_recheck(&self) -> Option<Moment> {
         if !self.is_untried_suspect() {
             return None;
@@ -116,13 +117,13 @@
         }
         let quarantine = &self.gateway.quarantine;
         let until = quarantine.trial_until(&self.request.fingerprints)?;
-        // Whoever waits for the same trial does not go on at the same moment.
+        // Requests that wait for the same trial must not all continue at the same moment.
         care.give_up_turn();
         Some(until)
     }
 
-    /// What is done right before an attempt is handed to a connection: if the request is a suspect, the other
-    /// daemons are told that it is being tried, anew for each leaf.
+    /// A closure to run right before an attempt is handed to a connection: if the request is suspect, it
+    /// announces to the other daemons that the request is being tried, again for each leaf.
     pub(super) fn announce_trial(&self) -> impl Fn() + use<> {
         let gateway = Rc::clone(&self.gateway);
         let care = Rc::clone(&self.shared.care);
@@ -136,7 +137,7 @@
         }
     }
 
-    /// What is known of leafs that end under the request.
+    /// The quarantine's verdict on the request.
     pub(super) fn quarantine_verdict(&self) -> Verdict {
         self.gateway.quarantine.verdict(&self.request.fingerprints)
     }
--- a/crates/tansylead-gateway/src/execution/call_notes.rs
+++ b/crates/tansylead-gateway/src/execution/call_records.rs
@@ -1,5 +1,5 @@
-//! What a call notes of its attempts: for the request's trace, for metrics, and for the choice of leafs
-//! and the delays of later requests.
+//! Records how the attempts of a call went: for the request's trace, for metrics, and for the choice of
+//! leafs and the hedge delays of later requests.
 
 use super::attempts::Attempt;
 use super::call::Call;
@@ -10,16 +10,16 @@
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Before latencies are learned, an answer is overdue after this share of the objective.
+/// Until latencies are learned, an answer is overdue after this share of the objective.
 const UNLEARNED_OVERDUE_SHARE: f64 = 0.4;
-/// Typical latency before it is learned, as a share of the objective.
+/// Typical latency until it is learned, as a share of the objective.
 const UNLEARNED_TYPICAL_SHARE: f64 = 0.2;
-/// Ways to a leaf and back within the overdue delay: one to connect and one to ask.
-const WAYS: u32 = 2;
+/// Round trips to a leaf within the overdue delay: one to connect and one for the request.
+const ROUND_TRIPS: u32 = 2;
 
 impl Call {
-    /// Notes that an answer of any kind has come: the connection lives.
-    fn note_sign_of_life(&self, attempt: &Attempt) {
+    /// Records that an answer of any kind has arrived: the connection is alive.
+    fn record_alive(&self, attempt: &Attempt) {
         if attempt.sent.get().is_some_and(|sent| sent.on_kept) {
             let now = Clock.now();
             attempt.leaf.on_kept_answer(now);
@@ -27,25 +27,25 @@
         }
     }
 
-    /// Notes that no answer has come in the usual time on a connection that had been kept.
-    pub(super) fn note_kept_overdue(&self, attempt: &Attempt, sent: Moment) {
+    /// Records that no answer has arrived in the usual time on a connection that had been kept.
+    pub(super) fn record_kept_overdue(&self, attempt: &Attempt, sent: Moment) {
         let now = Clock.now();
         attempt.leaf.on_kept_overdue(now, sent);
         self.gateway.on_kept_overdue(now, sent);
     }
 
-    /// Learns from the end of an attempt that was left to finish.
+    /// Records the end of an attempt that was left to finish after the call was answered.
     pub(super) fn on_loser_end(&self, attempt: &Attempt, end: Option<AttemptEnd>) {
         if let Some(AttemptEnd::Answered(_) | AttemptEnd::Refused(_)) = end {
-            self.note_sign_of_life(attempt);
+            self.record_alive(attempt);
         }
         if let Some(AttemptEnd::Answered(reply)) = &end {
-            self.note_survived(reply);
+            self.record_survival(reply);
         }
         if let Some(AttemptEnd::Answered(reply)) = end
             && !reply.status.is_server_error()
         {
-            self.note_answer(attempt);
+            self.record_answer(attempt);
         }
     }
 
@@ -57,7 +57,7 @@
 
     pub(super) fn record_end(&self, attempt: &Attempt, end: Option<&AttemptEnd>) {
         if let Some(AttemptEnd::Answered(_) | AttemptEnd::Refused(_)) = end {
-            self.note_sign_of_life(attempt);
+            self.record_alive(attempt);
         }
         let (end, cause) = match end {
             Some(AttemptEnd::Answered(reply)) => {
@@ -98,7 +98,7 @@
             .gateway
             .with_latencies(&self.route.name, |profile| profile.overdue());
         let unlearned = self.route.policy.objective.mul_f64(UNLEARNED_OVERDUE_SHARE);
-        learned.unwrap_or(unlearned) + leaf.round_trip() * WAYS
+        learned.unwrap_or(unlearned) + leaf.round_trip() * ROUND_TRIPS
     }
 
     pub(super) fn typical(&self) -> Duration {
@@ -109,19 +109,19 @@
         learned.unwrap_or(unlearned)
     }
 
-    pub(super) fn note_answer(&self, attempt: &Attempt) {
+    pub(super) fn record_answer(&self, attempt: &Attempt) {
         let Some(sent) = attempt.sent.get() else {
             return;
         };
         let now = Clock.now();
         let latency = now.since(sent.at).saturating_sub(attempt.leaf.round_trip());
-        let timely = now.since(attempt.started) < attempt.overdue_delay;
+        let is_timely = now.since(attempt.started) < attempt.overdue_delay;
         let typical = self.gateway.with_latencies(&self.route.name, |profile| {
             profile.record(now, latency);
             profile.typical()
         });
         let typical = typical.unwrap_or(Duration::ZERO);
-        let reports = attempt.leaf.on_answer(sent.at, timely, latency, typical);
+        let reports = attempt.leaf.on_answer(sent.at, is_timely, latency, typical);
         self.gateway.report(reports);
     }
 }
--- a/crates/tansylead-gateway/src/execution/forward.rs
+++ b/crates/tansylead-gateway/src/execution/forward.rs
@@ -1,4 +1,4 @@
-//! A request to one leaf of one service; the answer is passed on unchanged.
+//! A request to one service; the leaf's answer is forwarded unchanged.
 
 use super::call::Call;
 use super::call_end::{CallEnd, CallFailure};
@@ -9,14 +9,14 @@
 use tansylead_http::Reply;
 use tansylead_route::{retry_after_outage, retry_after_refusal};
 
-/// Runs a request to one service. `time_left` is how long the caller waits.
+/// Runs a request to one service; the caller waits for `time_left`.
 pub async fn forward(call: Call, time_left: Duration) -> Outcome {
     let service = Rc::clone(&call.service);
     let access = call.access.clone();
     let objective = call.route.policy.objective;
     let quarantine = call.quarantine();
     match call.run().await {
-        CallEnd::Answered(reply) => pass_on(reply),
+        CallEnd::Answered(reply) => forward_reply(reply),
         CallEnd::Failed(failure) => {
             let retry_after = if service.has_leafs(&access.route_in_force().policy.homes) {
                 retry_after_refusal(objective)
@@ -25,13 +25,13 @@
             };
             match quarantine.refusal().filter(|_| !failure.may_have_run) {
                 Some(refusal) => Outcome::Refused(refusal),
-                None => refuse(failure, retry_after),
+                None => outcome_of_failure(failure, retry_after),
             }
         }
     }
 }
 
-fn pass_on(reply: Reply) -> Outcome {
+fn forward_reply(reply: Reply) -> Outcome {
     let mut headers = reply.headers;
     remove_connection_headers(&mut headers);
     Outcome::Leaf {
@@ -41,9 +41,9 @@
     }
 }
 
-fn refuse(failure: CallFailure, retry_after: Duration) -> Outcome {
+fn outcome_of_failure(failure: CallFailure, retry_after: Duration) -> Outcome {
     if let Some(reply) = failure.reply {
-        return pass_on(reply);
+        return forward_reply(reply);
     }
     let refusal = if !failure.may_have_run {
         Refusal::not_run(retry_after)
--- a/crates/tansylead-gateway/src/execution/gather.rs
+++ b/crates/tansylead-gateway/src/execution/gather.rs
@@ -1,7 +1,7 @@
-//! A query over shards: one answer of each, merged.
+//! A query over shards: one answer from each, merged.
 //!
 //! Invariants: the shards are those of one version of the configuration; a part counts once; an
-//! answer has at least the parts that the route asks for, and says how many are missing.
+//! answer has at least the parts that the route requires, and states how many are missing.
 
 use super::call::Call;
 use super::call_end::{CallEnd, SharedProgress};
@@ -39,13 +39,13 @@
     pub request: Rc<OutgoingRequest>,
     /// When it arrived.
     pub arrived: Moment,
-    /// Until when the caller waits.
+    /// How long the caller waits, from its arrival.
     pub time_left: Duration,
-    /// Its decisions.
+    /// Trace of the decisions for the query.
     pub trace: Rc<RequestTrace>,
 }
 
-/// Parts that are in.
+/// Parts received so far.
 struct Parts {
     total: usize,
     needed: usize,
@@ -58,7 +58,7 @@
 /// Runs a query over shards.
 pub async fn gather(query: GatherQuery, set: &ShardSet) -> Outcome {
     let policy = &query.route.policy;
-    let patience = AnswerDeadlines::new(policy, query.time_left);
+    let deadlines = AnswerDeadlines::new(policy, query.time_left);
     let mut parts = Parts::new(set);
     if query.reachable_shards(set) < parts.needed {
         return Outcome::Refused(Refusal::not_run(retry_after_outage(query.time_left)));
@@ -67,16 +67,16 @@
         return Outcome::Refused(Refusal::overloaded(retry_after_outage(query.time_left)));
     }
     let shared = Rc::new(SharedProgress::default());
-    let end = query.arrived + patience.end;
+    let end = query.arrived + deadlines.end;
     let mut calls: FuturesUnordered<_> = set
         .shards
         .iter()
         .map(|shard| query.call(shard, end, &shared).run())
         .collect();
-    let timed_out = collect(&query, patience, &shared, &mut calls, &mut parts).await;
+    let timed_out = collect(&query, deadlines, &shared, &mut calls, &mut parts).await;
     if parts.are_enough() {
         shared.settled.set(true);
-        leave_to_finish(calls, policy.objective);
+        detach_calls(calls, policy.objective);
         return parts.into_outcome();
     }
     parts.may_have_run |= !calls.is_empty();
@@ -90,55 +90,52 @@
     Outcome::Refused(parts.refusal(timed_out, retry_after))
 }
 
-/// Takes in parts until no more are worth waiting for. Returns whether the time was up.
+/// Collects parts until no more are worth waiting for. Returns whether the deadline was reached.
 async fn collect(
     query: &GatherQuery,
-    patience: AnswerDeadlines,
+    deadlines: AnswerDeadlines,
     shared: &SharedProgress,
     calls: &mut FuturesUnordered<impl Future<Output = CallEnd>>,
     parts: &mut Parts,
 ) -> bool {
-    let wait_enough = Clock.sleep_until(query.arrived + patience.partial_from);
-    let wait_end = Clock.sleep_until(query.arrived + patience.end);
-    tokio::pin!(wait_enough, wait_end);
-    let mut past_enough = false;
-    while parts.may_still_come() {
+    let wait_partial = Clock.sleep_until(query.arrived + deadlines.partial_from);
+    let wait_end = Clock.sleep_until(query.arrived + deadlines.end);
+    tokio::pin!(wait_partial, wait_end);
+    let mut is_partial_allowed = false;
+    while parts.is_pending() {
         tokio::select! {
             biased;
-            Some(ended) = calls.next() => parts.take_in(ended, &query.gateway.names.signature),
-            () = &mut wait_enough, if !past_enough => {
-                past_enough = true;
-                query.note_progress(parts, shared);
+            Some(ended) = calls.next() => parts.record_end(ended, &query.gateway.names.signature),
+            () = &mut wait_partial, if !is_partial_allowed => {
+                is_partial_allowed = true;
+                query.report_to_admission(parts, shared);
             }
             () = &mut wait_end => return true,
         }
-        if past_enough && parts.are_enough() {
+        if is_partial_allowed && parts.are_enough() {
             break;
         }
     }
-    if !past_enough {
-        query.note_progress(parts, shared);
+    if !is_partial_allowed {
+        query.report_to_admission(parts, shared);
     }
     false
 }
 
-/// Lets the calls that are still open go on for a while: their leafs are at work already.
-fn leave_to_finish(
-    calls: FuturesUnordered<impl Future<Output = CallEnd> + 'static>,
-    limit: Duration,
-) {
+/// Lets open calls finish in the background for a while: their leafs are already at work.
+fn detach_calls(calls: FuturesUnordered<impl Future<Output = CallEnd> + 'static>, limit: Duration) {
     if calls.is_empty() {
         return;
     }
     spawn_local(async move {
         let finish = calls.for_each(|_| std::future::ready(()));
-        // Past the limit what is left is dropped, which ends it.
+        // After the limit the remaining calls are dropped, which ends them.
         let _ = Clock.timeout_at(Clock.now() + limit, finish).await;
     });
 }
 
 impl GatherQuery {
-    /// Shards with a leaf that takes this query.
+    /// Number of shards with a leaf that may be sent this query.
     fn reachable_shards(&self, set: &ShardSet) -> usize {
         let route = self.access.route_in_force();
         let is_reachable = |shard: &&ServiceName| {
@@ -159,8 +156,8 @@
         })
     }
 
-    /// Tells admission, once the query has ended or its objective is over, whether it has enough parts.
-    fn note_progress(&self, parts: &Parts, shared: &SharedProgress) {
+    /// Reports to admission, once the query has ended or partial answers are allowed, whether it has enough parts.
+    fn report_to_admission(&self, parts: &Parts, shared: &SharedProgress) {
         let now = Clock.now();
         let route = self.route.name.as_str();
         let change = self.gateway.with_admission(route, |admission| {
@@ -208,13 +205,13 @@
         self.signatures.len() >= self.needed
     }
 
-    /// Whether parts are missing, and enough of them may still come.
-    fn may_still_come(&self) -> bool {
+    /// Whether parts are missing, and enough of them may still arrive.
+    fn is_pending(&self) -> bool {
         let missing = self.signatures.len() + self.failed < self.total;
         missing && self.total - self.failed >= self.needed
     }
 
-    fn take_in(&mut self, ended: CallEnd, signature: &HeaderName) {
+    fn record_end(&mut self, ended: CallEnd, signature: &HeaderName) {
         match ended {
             CallEnd::Answered(reply) => self.add(reply, signature),
             CallEnd::Failed(failure) => {
--- a/crates/tansylead-gateway/src/execution/leaf_access.rs
+++ b/crates/tansylead-gateway/src/execution/leaf_access.rs
@@ -1,7 +1,7 @@
-//! Which leafs the requests of a route may use, by what is in force when it is asked.
+//! Which leafs the requests of a route may use, by the configuration in force at the time of the check.
 //!
-//! A request keeps the route it was taken under. Where it may go follows the configuration: a version
-//! that confines the route to other regions also binds attempts of requests that are under way.
+//! A request keeps the route that it matched on arrival. Which leafs it may use follows the configuration:
+//! a version that restricts the route to other regions also applies to requests in progress.
 
 use crate::clock::Clock;
 use crate::leaf::LeafState;
@@ -10,17 +10,17 @@
 use std::sync::Arc;
 use tansylead_route::{Eligibility, Route};
 
-/// The route of a request, and what of it is in force now.
+/// Decides which leafs the requests of a route may use now.
 #[derive(Debug, Clone)]
 pub struct LeafAccess {
     gateway: Rc<Gateway>,
     route: Arc<Route>,
-    /// Version that the route was found in.
+    /// Version of the configuration that the route was found in.
     version: u64,
 }
 
 impl LeafAccess {
-    /// Access of a request whose route was found in this version of the configuration.
+    /// Access for a request whose route was found in this version of the configuration.
     pub fn new(gateway: Rc<Gateway>, route: Arc<Route>, version: u64) -> Self {
         Self {
             gateway,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The route as it is in force now, or as the request found it if it was removed since.
+    /// The route as it is in force now, or as the request found it if it has been removed since.
     pub fn route_in_force(&self) -> Arc<Route> {
         let active = self.gateway.active();
         let newer = active.filter(|active| active.configuration.version != self.version);
--- a/crates/tansylead-gateway/src/execution/mod.rs
+++ b/crates/tansylead-gateway/src/execution/mod.rs
@@ -1,12 +1,12 @@
-//! Runs routed requests: one answer of one service, and answers merged from many shards.
+//! Runs routed requests: calls of one service, and queries merged from the answers of many shards.
 
 mod at_root;
 mod attempts;
 mod call;
-mod call_care;
 mod call_end;
 mod call_extra;
-mod call_notes;
+mod call_quarantine;
+mod call_records;
 mod forward;
 mod gather;
 mod leaf_access;
--- a/crates/tansylead-gateway/src/execution/outcome.rs
+++ b/crates/tansylead-gateway/src/execution/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended, in terms that the caller's protocol can be written from.
+//! How a request ended, independent of the caller's protocol.
 
 use bytes::Bytes;
 use hyper::header::HeaderValue;
@@ -9,9 +9,9 @@
 /// How a request ended.
 #[derive(Debug)]
 pub enum Outcome {
-    /// A leaf's answer, to be passed on unchanged.
+    /// A leaf's answer, to be forwarded unchanged.
     Leaf {
-        /// Status.
+        /// Status code.
         status: StatusCode,
         /// Headers.
         headers: HeaderMap,
@@ -22,7 +22,7 @@
     Merged {
         /// Signatures of the parts.
         signatures: Vec<HeaderValue>,
-        /// Shards left out.
+        /// Number of shards without a part.
         missing: usize,
         /// Records, greatest first.
         body: Vec<u8>,
@@ -34,13 +34,13 @@
 /// Why there is no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Reason.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When the caller should come back; only where the request has not run.
+    /// When the caller should retry; only if the request has not run.
     pub retry_after: Option<Duration>,
 }
 
-/// Reasons for a refusal. The first group promises that nothing has run and nothing will.
+/// Reasons for a refusal. All but `Failed` and `TimedOut` guarantee that the request has not run and will not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
     /// No configuration yet.
@@ -49,28 +49,28 @@
     NotRun,
     /// Leafs are short of capacity, and this query was not admitted; it has not run.
     Overloaded,
-    /// Leafs end under this request whenever they run it; this time none was sent it.
+    /// Leafs end whenever they run this request; this time it was sent to none.
     EndsLeafs,
     /// No route takes the request.
     NoRoute,
-    /// The request carries no id, so no answer could be told to be its own.
+    /// The request has no id, so no answer could be matched to it.
     NoRequestId,
     /// Body over the limit.
     BodyTooLarge,
     /// Headers over the limit.
     HeadersTooLarge,
-    /// The body broke off.
+    /// The body was truncated or malformed.
     BadBody,
-    /// The body did not come whole while its caller waited; the request has not run.
+    /// The body was not complete before the caller's deadline; the request has not run.
     BodyTooLate,
     /// Leafs failed; the request may have run.
     Failed,
-    /// The time is up; the request may have run.
+    /// The deadline was reached; the request may have run.
     TimedOut,
 }
 
 impl RefusalReason {
-    /// Status towards the caller.
+    /// Status code sent to the caller.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoConfiguration | Self::NotRun | Self::Overloaded | Self::EndsLeafs => {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Name, for logs, metrics and the body of the answer.
+    /// Name for logs, metrics and the body of the answer.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
@@ -106,7 +106,7 @@
 }
 
 impl Refusal {
-    /// A refusal without a time to come back.
+    /// A refusal without a time to retry.
     pub fn new(reason: RefusalReason) -> Self {
         Self {
             reason,
--- a/crates/tansylead-gateway/src/execution/request_quarantine.rs
+++ b/crates/tansylead-gateway/src/execution/request_quarantine.rs
@@ -1,4 +1,4 @@
-//! The refusal of a request of which no attempt was started because leafs end under it.
+//! Refusal of a request that was not sent because it makes leaf processes end.
 
 use super::call::Call;
 use super::call_end::SharedProgress;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tansylead_route::RequestFingerprints;
 
-/// What is known of leafs that end under one request.
+/// Quarantine state of one request.
 pub(super) struct RequestQuarantine {
     gateway: Rc<Gateway>,
     fingerprints: RequestFingerprints,
@@ -17,7 +17,7 @@
 }
 
 impl RequestQuarantine {
-    /// Of a request whose calls share this.
+    /// Quarantine state of a request whose calls share this progress.
     pub(super) fn new(
         gateway: &Rc<Gateway>,
         request: &OutgoingRequest,
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The refusal, if an attempt was not started because the request is quarantined. It is true only if no
-    /// other attempt was sent.
+    /// The refusal, if an attempt was not started because the request is quarantined. It states that the request
+    /// has not run, which is true only if no other attempt was sent.
     pub(super) fn refusal(&self) -> Option<Refusal> {
         if !self.care.is_refused() {
             return None;
@@ -41,7 +41,7 @@
 }
 
 impl Call {
-    /// What is known of leafs that end under the request.
+    /// Quarantine state of the request.
     pub(super) fn quarantine(&self) -> RequestQuarantine {
         RequestQuarantine::new(&self.gateway, &self.request, &self.shared)
     }
--- a/crates/tansylead-gateway/src/leaf/leaf_health.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_health.rs
@@ -121,7 +121,7 @@
         leaf: &LeafRun,
         now: Moment,
         sent: Moment,
-        timely: bool,
+        is_timely: bool,
         ratio: f64,
     ) -> Vec<LeafReport> {
         let mut reports = Vec::new();
@@ -130,11 +130,11 @@
             reports.push(LeafReport::Answering { leaf: leaf.clone() });
         }
         self.reported_silence.set(silence);
-        if self.breaker.borrow_mut().on_answer(now, sent, timely) {
+        if self.breaker.borrow_mut().on_answer(now, sent, is_timely) {
             log::info!(leaf = leaf.leaf.as_str(); "leaf sound again");
         }
         let mut slowness = self.slowness.get();
-        let reported_factor = match timely {
+        let reported_factor = match is_timely {
             true => slowness.on_timely(now, ratio).then_some(1.0),
             false => slowness.on_late(now, sent, ratio).then_some(ratio),
         };
--- a/crates/tansylead-gateway/src/leaf/leaf_state.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_state.rs
@@ -298,14 +298,14 @@
     pub fn on_answer(
         &self,
         sent: Moment,
-        timely: bool,
+        is_timely: bool,
         latency: Duration,
         typical: Duration,
     ) -> Vec<LeafReport> {
         let leaf = &self.entry().run();
         let ratio = ratio(latency, typical);
         self.health
-            .on_answer(leaf, Clock.now(), sent, timely, ratio)
+            .on_answer(leaf, Clock.now(), sent, is_timely, ratio)
     }
 
     /// Records an answer on a connection that had been kept.
--- a/crates/tansylead-gateway/src/leaf/lost_requests.rs
+++ b/crates/tansylead-gateway/src/leaf/lost_requests.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Removes and returns the requests that were given up shortly before `lost`, when the leaf was found to have ended.
+    /// Removes and returns the requests that were given up shortly before `lost`, when the leaf was found to
+    /// have ended.
     pub fn take_abandoned(&self, lost: Moment) -> Vec<LostRequest> {
         let abandoned = self.abandoned.take().into_iter();
         let is_recent = |request: &LostRequest| lost.since(request.lost) < ABANDONED_RETENTION;
