--- a/crates/tansylead-gateway/src/caller/handler.rs
+++ b/crates/tansylead-gateway/src/caller/handler.rs
@@ -148,9 +148,7 @@
         Target::Services(services) => {
             let index = match services.len() {
                 1 => Some(0),
-                _ => {
-                    gateway.with_round_robin(&route.name, |round_robin| round_robin.next(services))
-                }
+                _ => gateway.with_round_robin(&route.name, |weighted| weighted.next(services)),
             };
             let Some(index) = index else {
                 return Outcome::Refused(Refusal::not_run(retry_after_outage(time_left)));
--- a/crates/tansylead-gateway/tests/admission.rs
+++ b/crates/tansylead-gateway/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Queries over shards while leafs refuse their parts as full.
+//! Admission of queries over shards while leafs are full and refuse requests.
 
 mod common;
 
@@ -22,9 +22,9 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Time that callers wait.
-const WAITS: Duration = Duration::from_secs(4);
-/// Queries of a test; by chance all or none are refused once in 10^10 runs.
+/// How long callers wait.
+const TIME_LEFT: Duration = Duration::from_secs(4);
+/// Queries per test; the chance that all or none are refused is once in 10^10 runs.
 const QUERIES: u32 = 80;
 
 /// A leaf that refuses every request without running it, and counts them.
@@ -66,7 +66,7 @@
     Rc::new(gateway)
 }
 
-async fn ask(gateway: &Rc<Gateway>, time_left: Duration) -> Outcome {
+async fn query(gateway: &Rc<Gateway>, time_left: Duration) -> Outcome {
     let set = ShardSet {
         shards: vec![shard()],
         top: 1,
@@ -80,7 +80,7 @@
         policy: Policy {
             repeatable: true,
             maximum_attempts: 3,
-            timeout: WAITS,
+            timeout: TIME_LEFT,
             objective: Duration::from_millis(250),
             priority: 1,
             homes: HomeRegions::default(),
@@ -114,37 +114,37 @@
 }
 
 #[tokio::test]
-async fn a_query_that_is_not_admitted_reaches_no_leaf_and_its_caller_is_told_when_to_come_back() {
-    // Regression: while leafs of many shards were slow or gone, every query lost other parts to full
-    // leafs, and two thirds of them were late or failed (users' bench, large fleets).
+async fn a_query_that_is_not_admitted_reaches_no_leaf_and_its_caller_is_told_when_to_retry() {
+    // Regression: while leafs of many shards were slow or gone, each query lost parts of other shards to full
+    // leafs, and two thirds of the queries were late or failed (users' benchmark, large fleets).
     let requests = Arc::new(AtomicU32::new(0));
     let gateway = gateway(full_leaf(Arc::clone(&requests)).await);
-    let asking = async {
+    let queries = async {
         let mut not_admitted = 0;
         for _ in 0..QUERIES {
             let before = requests.load(Ordering::Relaxed);
-            let outcome = ask(&gateway, WAITS).await;
+            let outcome = query(&gateway, TIME_LEFT).await;
             if is_not_admitted(&outcome) {
                 not_admitted += 1;
                 assert_eq!(requests.load(Ordering::Relaxed), before);
             }
         }
         assert!(not_admitted > 0, "the leaf is full: some are refused early");
-        assert!(not_admitted < QUERIES, "some always go on");
+        assert!(not_admitted < QUERIES, "some are always admitted");
     };
-    LocalSet::new().run_until(asking).await;
+    LocalSet::new().run_until(queries).await;
 }
 
 #[tokio::test]
-async fn a_caller_that_came_back_after_a_refusal_is_not_refused_again() {
+async fn a_caller_that_retries_after_a_refusal_is_not_refused_again() {
     let requests = Arc::new(AtomicU32::new(0));
     let gateway = gateway(full_leaf(Arc::clone(&requests)).await);
-    let asking = async {
-        ask(&gateway, WAITS).await;
+    let queries = async {
+        query(&gateway, TIME_LEFT).await;
         for _ in 0..QUERIES {
-            let outcome = ask(&gateway, WAITS * 2 / 3).await;
+            let outcome = query(&gateway, TIME_LEFT * 2 / 3).await;
             assert!(!is_not_admitted(&outcome), "{outcome:?}");
         }
     };
-    LocalSet::new().run_until(asking).await;
+    LocalSet::new().run_until(queries).await;
 }
--- a/crates/tansylead-gateway/tests/attempts.rs
+++ b/crates/tansylead-gateway/tests/attempts.rs
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_with_the_id_is_an_answer_and_its_connection_is_kept() {
+async fn an_answer_with_the_id_is_accepted_and_its_connection_is_kept() {
     let leaf = state(leaf(answer(Some(ID))).await);
     assert!(matches!(attempt(&leaf).await, AttemptEnd::Answered(_)));
     assert_eq!(leaf.idle_connections(), 1);
@@ -110,20 +110,24 @@
 }
 
 #[tokio::test]
-async fn what_may_not_be_repeated_goes_over_no_connection_that_rested_long() {
+async fn what_may_not_be_repeated_is_not_sent_over_a_connection_that_was_idle_for_long() {
     let leaf = state(leaf(answer(Some(ID))).await);
     attempt(&leaf).await;
     attempt_if(&leaf, false).await;
     assert_eq!(
         leaf.idle_connections(),
         1,
-        "one that has hardly rested is used"
+        "a connection that was hardly idle is used"
     );
     tokio::time::sleep(Duration::from_millis(300)).await;
     attempt_if(&leaf, false).await;
     assert_eq!(leaf.idle_connections(), 2, "a new one was opened");
     attempt(&leaf).await;
-    assert_eq!(leaf.idle_connections(), 2, "others use what there is");
+    assert_eq!(
+        leaf.idle_connections(),
+        2,
+        "repeatable requests use idle connections"
+    );
 }
 
 #[tokio::test]
--- a/crates/tansylead-gateway/tests/common/fleet.rs
+++ b/crates/tansylead-gateway/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A gateway with one leaf of each version of a service, for tests of roll-outs.
+//! A gateway with one leaf of each version of a service, for roll-out tests.
 
 use super::versions::{
     BEFORE, Behaviour, FakeLeaf, STARTED, entry_of, grant, judge, order, orders, request, service,
@@ -17,24 +17,24 @@
 use tansylead_types::ServiceName;
 use tokio::task::LocalSet;
 
-/// Time within which an answer is timely.
+/// Objective of the route: an answer within this time is timely.
 pub const OBJECTIVE: Duration = Duration::from_millis(400);
 /// Time after which a request ends.
 pub const TIMEOUT: Duration = Duration::from_secs(4);
-/// Fails.
+/// A leaf that fails every request.
 pub const BAD: Behaviour = Behaviour::Answer(500, Duration::ZERO);
 
-/// Settings of the example.
+/// Settings of the example, with enough slack for hedges.
 pub fn settings() -> GatewaySettings {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/gateway");
     let settings = GatewaySettings::load(&root.join("settings.toml"));
     let mut settings = settings.expect("settings");
-    // A daemon that has just started takes a small part of the slack; there are hedges all the same.
+    // A daemon that has just started gets a small share of the slack; this is enough for hedges all the same.
     settings.bounds.retry_slack = 100.0;
     settings
 }
 
-/// A gateway that knows these leafs, and that nothing was ordered before they came.
+/// A gateway that knows these leafs, and that there was no roll-out order before they started.
 pub fn gateway_with(settings: GatewaySettings, entries: Vec<LeafEntry>) -> Rc<Gateway> {
     let gateway = Gateway::new(settings, HeaderNames::default());
     gateway.apply_roll_outs(orders([], BEFORE));
@@ -56,12 +56,12 @@
 }
 
 impl Fleet {
-    /// Nothing is ordered yet.
+    /// A fleet without a roll-out order.
     pub async fn new() -> Self {
         Self::with_settings(settings()).await
     }
 
-    /// The same, with these settings.
+    /// A fleet without a roll-out order, with these settings.
     pub async fn with_settings(settings: GatewaySettings) -> Self {
         let (old, new) = (FakeLeaf::good().await, FakeLeaf::good().await);
         let entries = vec![
@@ -72,27 +72,27 @@
         Self { gateway, old, new }
     }
 
-    /// The order stands, and nothing is granted yet.
+    /// A fleet with a running order, and nothing granted yet.
     pub async fn ordered() -> Self {
         let fleet = Self::new().await;
         fleet.set_state(RollOutState::Running, STARTED);
         fleet
     }
 
-    /// The order stands, and so much is granted.
+    /// A fleet with a running order and this grant.
     pub async fn granted(stage: Stage, limit: u64) -> Self {
         let fleet = Self::ordered().await;
         grant_to(&fleet.gateway, &service(), stage, limit);
         fleet
     }
 
-    /// Tells how far the roll-out has come.
+    /// Sets the state of the roll-out.
     pub fn set_state(&self, state: RollOutState, at: Revision) {
         let order = order(&service(), state, at);
         self.gateway.apply_roll_outs(orders([order], at));
     }
 
-    /// Where so many requests in turn went: to the old leaf, and to the new one.
+    /// Sends this many requests one by one. Returns how many requests reached the old leaf, and the new one.
     pub async fn send(&self, requests: u32) -> (u32, u32) {
         for _ in 0..requests {
             assert_eq!(self.ask(true).await, Some(200));
@@ -109,19 +109,19 @@
         }
     }
 
-    /// Requests that reached the old leaf, and the new one.
+    /// Number of requests that reached the old leaf, and the new one.
     pub fn served(&self) -> (u32, u32) {
         (self.old.served(), self.new.served())
     }
 
-    /// What was seen of both sides.
+    /// The evidence on both versions.
     pub fn evidence(&self) -> RollOutEvidence {
         let service = self.gateway.service(&service());
         service.versions().evidence().expect("an order").1
     }
 }
 
-/// Grants so many sends to the target version of a service.
+/// Grants this many sends to the target version of a service.
 pub fn grant_to(gateway: &Gateway, service: &ServiceName, stage: Stage, limit: u64) {
     let service = gateway.service(service);
     let grant = grant(stage, limit);
@@ -130,7 +130,7 @@
         .on_grant(Clock.now(), OrderId(1), judge(), grant);
 }
 
-/// A route.
+/// A route with the objective and timeout above.
 pub fn route(target: Target, repeatable: bool) -> Arc<Route> {
     Arc::new(Route {
         name: "search".to_owned(),
@@ -164,7 +164,7 @@
     }
 }
 
-/// The directory with the new leaf alone.
+/// The directory when the old leaf is draining and the new one serves.
 pub fn without_old(fleet: &Fleet) -> DirectoryDelta {
     let mut leaving = entry_of("i-old", &service(), fleet.old.address, "old", BEFORE);
     leaving.phase = LeafPhase::Draining;
--- a/crates/tansylead-gateway/tests/common/mod.rs
+++ b/crates/tansylead-gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Leafs for tests.
+//! Leafs and orders for tests.
 
 #[allow(dead_code, reason = "not every test file uses it")]
 pub mod fleet;
@@ -20,7 +20,7 @@
 };
 use tansylead_types::{LeafId, ServiceName, SoftwareVersion, ZoneName};
 
-/// The entry of a leaf that takes requests.
+/// The entry of a leaf that accepts requests.
 pub fn entry(name: &str, service: &ServiceName, address: SocketAddr) -> LeafEntry {
     LeafEntry {
         leaf: LeafId::new(name).expect("valid name"),
@@ -51,7 +51,7 @@
     Rc::new(LeafState::new(entry, location, share, Rc::default()))
 }
 
-/// What an attempt is bound to that ends after `limit`, when an answer is also overdue.
+/// Terms of an attempt that ends after `limit`, when its answer also becomes overdue.
 #[allow(dead_code, reason = "not every test file uses it")]
 pub fn terms(limit: Duration) -> SendTerms {
     SendTerms {
@@ -62,7 +62,7 @@
     }
 }
 
-/// One order in this state, known up to a revision.
+/// One order in this state, known up to this revision.
 #[allow(dead_code, reason = "not every test file uses it")]
 pub fn orders(service: &str, target: &str, state: RollOutState, at: Revision) -> RollOuts {
     let service = ServiceName::new(service).expect("valid name");
--- a/crates/tansylead-gateway/tests/common/trial.rs
+++ b/crates/tansylead-gateway/tests/common/trial.rs
@@ -20,9 +20,9 @@
 pub const LIMIT: Duration = Duration::from_secs(5);
 /// Time after which an answer is overdue, where that matters.
 pub const OVERDUE: Duration = Duration::from_millis(200);
-/// No time.
+/// Answers without delay.
 pub const AT_ONCE: Duration = Duration::ZERO;
-/// Answers well at once.
+/// Succeeds at once.
 pub const GOOD: Behaviour = Behaviour::Answer(200, AT_ONCE);
 
 /// A leaf of this version, with one connection.
@@ -47,7 +47,7 @@
 
 /// A service with an order, and one connection to a leaf of each version.
 pub struct Trial {
-    /// What is known of the versions.
+    /// Versions of the service.
     pub versions: Rc<ServiceVersions>,
     /// A leaf that ran before.
     pub old: Rc<LeafState>,
@@ -56,7 +56,7 @@
 }
 
 impl Trial {
-    /// The order stands, and nothing is granted yet.
+    /// A running order, and nothing granted yet.
     pub fn new(old: &FakeLeaf, new: &FakeLeaf) -> Self {
         let versions: Rc<ServiceVersions> = Rc::default();
         let old = leaf_of(&versions, "i-old", old, "old", BEFORE);
@@ -67,19 +67,19 @@
         Self { versions, old, new }
     }
 
-    /// Takes in a grant.
+    /// Applies a grant.
     pub fn grant(&self, grant: Grant) {
         let now = Clock.now();
         self.versions.on_grant(now, OrderId(1), judge(), grant);
     }
 
-    /// What was seen of both sides.
+    /// The evidence on both versions.
     pub fn evidence(&self) -> RollOutEvidence {
         self.versions.evidence().expect("an order").1
     }
 }
 
-/// Runs an attempt.
+/// Runs an attempt to its end.
 pub async fn attempt_within(leaf: &Rc<LeafState>, terms: SendTerms) -> AttemptEnd {
     let names = Rc::new(HeaderNames::default());
     let sent = Rc::new(Cell::new(None));
@@ -90,13 +90,13 @@
     run_attempt(Rc::clone(leaf), request(true), names, may_use, terms, sent).await
 }
 
-/// Starts an attempt.
+/// Starts an attempt in a task.
 pub fn start(leaf: &Rc<LeafState>) -> JoinHandle<AttemptEnd> {
     let leaf = Rc::clone(leaf);
     spawn_local(async move { attempt_within(&leaf, terms(LIMIT)).await })
 }
 
-/// Waits until the leaf has so many requests.
+/// Waits until the leaf has received this many requests.
 pub async fn wait_for(leaf: &FakeLeaf, requests: u32) {
     while leaf.served() < requests {
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -112,7 +112,7 @@
     }
 }
 
-/// A leaf that works until it is told to answer.
+/// A leaf that keeps working until its behaviour is changed.
 pub async fn working() -> FakeLeaf {
     FakeLeaf::start(Behaviour::Work).await
 }
--- a/crates/tansylead-gateway/tests/common/versions.rs
+++ b/crates/tansylead-gateway/tests/common/versions.rs
@@ -1,4 +1,4 @@
-//! Leafs of two versions of a service, for tests of roll-outs.
+//! Leafs of two versions of a service, for roll-out tests.
 
 use super::entry;
 use bytes::Bytes;
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The id that every request has.
+/// The id of every request.
 pub const ID: &str = "own";
 /// Revision of the leafs that ran before the order.
 pub const BEFORE: Revision = Revision::first_era(10);
@@ -29,20 +29,20 @@
 /// Revision of the end of the roll-out.
 pub const ENDED: Revision = Revision::first_era(30);
 
-/// What a leaf does with a request.
+/// How a leaf handles a request.
 #[derive(Debug, Clone, Copy)]
 pub enum Behaviour {
-    /// Answers with this status after some time.
+    /// Answers with this status after this time.
     Answer(u16, Duration),
-    /// Says that it did not run the request.
+    /// Answers that it did not run the request.
     Refuse,
-    /// Says nothing.
+    /// Never answers.
     Silent,
-    /// Works until it is told to do something else.
+    /// Keeps working until the behaviour is changed.
     Work,
 }
 
-/// A leaf.
+/// A leaf whose behaviour the test controls.
 pub struct FakeLeaf {
     /// Where it listens.
     pub address: SocketAddr,
@@ -51,7 +51,7 @@
 }
 
 impl FakeLeaf {
-    /// A leaf that does this with each request.
+    /// Starts a leaf that handles each request like this.
     pub async fn start(behaviour: Behaviour) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
         let leaf = Self {
@@ -68,17 +68,17 @@
         leaf
     }
 
-    /// A leaf that answers well and at once.
+    /// Starts a leaf that succeeds at once.
     pub async fn good() -> Self {
         Self::start(Behaviour::Answer(200, Duration::ZERO)).await
     }
 
-    /// Requests that reached it.
+    /// Number of requests that reached it.
     pub fn served(&self) -> u32 {
         self.served.load(Ordering::SeqCst)
     }
 
-    /// Changes what it does.
+    /// Changes how it handles requests.
     pub fn set(&self, behaviour: Behaviour) {
         *self.behaviour.lock().expect("not poisoned") = behaviour;
     }
@@ -107,7 +107,7 @@
     }
 }
 
-/// What a leaf does, once that is not to work on.
+/// Waits until the behaviour is other than `Work`, and returns it.
 async fn end_of_work(behaviour: &Mutex<Behaviour>) -> Behaviour {
     loop {
         let now = *behaviour.lock().expect("not poisoned");
@@ -123,12 +123,12 @@
     ServiceName::new("search").expect("valid name")
 }
 
-/// A version.
+/// The software version of this name.
 pub fn version(name: &str) -> SoftwareVersion {
     SoftwareVersion::new(name).expect("valid name")
 }
 
-/// Entry of a leaf of this version.
+/// The entry of a leaf of this version.
 pub fn entry_of(
     leaf: &str,
     service: &ServiceName,
@@ -155,7 +155,7 @@
     }
 }
 
-/// All orders: these.
+/// These orders, known up to this revision.
 pub fn orders(orders: impl IntoIterator<Item = RollOut>, at: Revision) -> RollOuts {
     let orders = orders.into_iter();
     RollOuts {
@@ -164,7 +164,7 @@
     }
 }
 
-/// A grant that holds for long.
+/// A grant that stays valid for the whole test.
 pub fn grant(stage: Stage, limit: u64) -> Grant {
     Grant {
         stage,
@@ -173,12 +173,12 @@
     }
 }
 
-/// The judge.
+/// The daemon that judges the roll-out.
 pub fn judge() -> NodeId {
     NodeId(([127, 0, 0, 1], 1).into())
 }
 
-/// A request.
+/// A request without a body.
 pub fn request(repeatable: bool) -> Rc<OutgoingRequest> {
     Rc::new(OutgoingRequest {
         method: Method::GET,
--- a/crates/tansylead-gateway/tests/connections.rs
+++ b/crates/tansylead-gateway/tests/connections.rs
@@ -1,4 +1,4 @@
-//! What a daemon makes of the entries of leafs and of reports on them: connections, use.
+//! How leaf entries and reports on leafs determine which leafs a daemon uses, and with how many connections.
 
 mod common;
 
@@ -15,16 +15,16 @@
 };
 use tansylead_types::{LeafId, PlaceName, ServiceName};
 
-const CAP: u32 = 40;
-/// Requests a second that a cold leaf bears.
-const COLD_BOUND: f64 = 20.0;
+const MAXIMUM_CONNECTIONS: u32 = 40;
+/// Requests per second that a cold leaf can take.
+const COLD_LIMIT: f64 = 20.0;
 
 fn gateway() -> Gateway {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/gateway");
     gateway_with(GatewaySettings::load(&root.join("settings.toml")).expect("settings"))
 }
 
-/// A daemon that relies on no word and so knows at once that no other daemon runs.
+/// A daemon whose data expires at once, so that it knows from the start that no other daemon is running.
 fn lone_gateway() -> Gateway {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/gateway");
     let settings = GatewaySettings::load(&root.join("settings.toml"));
@@ -39,8 +39,8 @@
     let gateway = Gateway::new(settings, HeaderNames::default());
     let service = ServiceName::new("disputes").expect("valid name");
     let configured = Service {
-        maximum_connections: CAP,
-        cold_requests_per_second: Some(COLD_BOUND),
+        maximum_connections: MAXIMUM_CONNECTIONS,
+        cold_requests_per_second: Some(COLD_LIMIT),
     };
     gateway.apply_configuration(Configuration {
         version: 1,
@@ -60,7 +60,7 @@
     gateway
 }
 
-/// So many daemons, all in the region of the leaf.
+/// This many daemons, all in the region of the leaf.
 fn daemons(count: usize) -> DaemonCounts {
     let region = PlaceName::new("bangkok").expect("valid name");
     DaemonCounts::new(vec![region; count], 0)
@@ -74,18 +74,26 @@
 
 #[test]
 fn a_daemon_that_has_just_started_takes_a_small_share_of_connections() {
-    // Regression: each daemon took itself for the only one (incident inc-b3d2).
+    // Regression: each daemon assumed that it was the only one (incident inc-b3d2).
     let gateway = gateway();
-    assert!(limit(&gateway) <= CAP / 8, "{}", limit(&gateway));
+    assert!(
+        limit(&gateway) <= MAXIMUM_CONNECTIONS / 8,
+        "{}",
+        limit(&gateway)
+    );
     gateway.set_daemons(daemons(1));
-    assert!(limit(&gateway) <= CAP / 8, "{}", limit(&gateway));
+    assert!(
+        limit(&gateway) <= MAXIMUM_CONNECTIONS / 8,
+        "{}",
+        limit(&gateway)
+    );
 }
 
 #[test]
-fn many_daemons_share_the_cap() {
+fn many_daemons_share_the_maximum_of_connections() {
     let gateway = gateway();
     gateway.set_daemons(daemons(20));
-    assert!(limit(&gateway) * 20 <= CAP);
+    assert!(limit(&gateway) * 20 <= MAXIMUM_CONNECTIONS);
     gateway.set_daemons(daemons(1_000));
     assert_eq!(limit(&gateway), 1);
 }
@@ -104,8 +112,8 @@
 }
 
 #[test]
-fn a_leaf_whose_entry_lapsed_is_used_until_it_is_listed_again() {
-    // Regression: entries lapse while the store is down, and everything was refused after it.
+fn a_leaf_whose_entry_expired_is_used_until_it_is_listed_again() {
+    // Regression: entries expire while the store is down, and afterwards all requests were refused.
     let gateway = gateway();
     let leaf = LeafId::new("leaf").expect("valid name");
     apply(&gateway, 2, vec![DirectoryChange::Gone(leaf)]);
@@ -130,7 +138,7 @@
     assert!(!has_leafs(&gateway));
 }
 
-/// Tells the gateway of a second leaf that stays listed.
+/// Adds a second leaf that stays listed.
 fn add_second_leaf(gateway: &Gateway, at: u64) {
     let first = gateway.directory().entries().next().cloned();
     let mut second = first.expect("a leaf");
@@ -146,8 +154,8 @@
 
 #[test]
 fn a_leaf_whose_entry_lapsed_while_the_source_was_away_is_used_like_any_other() {
-    // Regression: on the source's return the list lacks live leafs; they were dropped at once, and
-    // everything went to the few that were listed.
+    // Regression: when the source comes back, its list lacks live leafs; they were dropped at once, and
+    // all requests went to the few that were listed.
     let gateway = gateway();
     add_second_leaf(&gateway, 2);
     let long_ago = Clock.now() - Duration::from_secs(10);
@@ -158,7 +166,7 @@
 }
 
 #[test]
-fn a_leaf_whose_entry_goes_while_the_source_is_there_is_not_used_beside_others() {
+fn a_leaf_whose_entry_disappears_while_the_source_is_available_is_not_used_beside_others() {
     let gateway = gateway();
     add_second_leaf(&gateway, 2);
     gateway.confirm(Topic::Leafs, Clock.now());
@@ -168,7 +176,7 @@
 }
 
 #[test]
-fn what_is_known_of_a_leaf_outlives_a_lapse_of_its_entry() {
+fn the_state_of_a_leaf_survives_while_its_entry_is_missing() {
     let gateway = gateway();
     let service = ServiceName::new("disputes").expect("valid name");
     let entry = gateway.directory().entries().next().cloned();
@@ -220,16 +228,16 @@
     assert_eq!(verdict(&gateway), BreakerVerdict::Healthy);
 }
 
-/// Tells the gateway how much longer its leaf is cold.
-fn tell_cold(gateway: &Gateway, at: u64, left: Duration) {
+/// Applies an entry that states how much longer the leaf is cold.
+fn set_cold(gateway: &Gateway, at: u64, left: Duration) {
     let first = gateway.directory().entries().next().cloned();
     let mut cold = first.expect("a leaf");
     cold.warmup_left = left;
     apply(gateway, at, vec![DirectoryChange::Present(cold)]);
 }
 
-/// Requests that may be sent to the leaf one right after the other, up to a limit.
-fn requests_with_room(gateway: &Gateway, limit: u32) -> u32 {
+/// Number of requests that may be sent to the leaf in immediate succession, up to a limit.
+fn requests_accepted(gateway: &Gateway, limit: u32) -> u32 {
     let service = ServiceName::new("disputes").expect("valid name");
     let leaf = gateway.service(&service).regular().remove(0);
     let mut sent = 0;
@@ -242,23 +250,23 @@
 }
 
 #[test]
-fn a_cold_leaf_gets_no_more_requests_than_it_bears() {
+fn a_cold_leaf_gets_no_more_requests_than_its_limit() {
     // Regression: a cold leaf got as many requests as any other.
     let gateway = lone_gateway();
-    tell_cold(&gateway, 2, Duration::from_secs(60));
-    let sent = requests_with_room(&gateway, 100);
-    assert!(f64::from(sent) <= COLD_BOUND, "{sent}");
-    assert!(f64::from(sent) >= COLD_BOUND / 2.0, "{sent}");
+    set_cold(&gateway, 2, Duration::from_secs(60));
+    let sent = requests_accepted(&gateway, 100);
+    assert!(f64::from(sent) <= COLD_LIMIT, "{sent}");
+    assert!(f64::from(sent) >= COLD_LIMIT / 2.0, "{sent}");
 }
 
 #[test]
-fn a_leaf_that_becomes_cold_again_is_bounded_again_and_free_once_it_is_warm() {
+fn a_leaf_that_becomes_cold_again_is_limited_again_until_it_is_warm() {
     let gateway = lone_gateway();
     for round in 0..2 {
-        tell_cold(&gateway, 2 + 2 * round, Duration::from_secs(60));
-        assert!(requests_with_room(&gateway, 100) < 100);
-        tell_cold(&gateway, 3 + 2 * round, Duration::ZERO);
-        assert_eq!(requests_with_room(&gateway, 100), 100);
+        set_cold(&gateway, 2 + 2 * round, Duration::from_secs(60));
+        assert!(requests_accepted(&gateway, 100) < 100);
+        set_cold(&gateway, 3 + 2 * round, Duration::ZERO);
+        assert_eq!(requests_accepted(&gateway, 100), 100);
     }
 }
 
@@ -266,6 +274,6 @@
 fn a_daemon_that_does_not_know_the_others_yet_leaves_cold_leafs_to_them() {
     let gateway = gateway();
     gateway.set_daemons(daemons(1));
-    tell_cold(&gateway, 2, Duration::from_secs(60));
-    assert_eq!(requests_with_room(&gateway, 100), 0);
+    set_cold(&gateway, 2, Duration::from_secs(60));
+    assert_eq!(requests_accepted(&gateway, 100), 0);
 }
--- a/crates/tansylead-gateway/tests/kept_connections.rs
+++ b/crates/tansylead-gateway/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that were kept and go silent for good, while new ones to the same leafs work.
+//! Kept connections that go silent for good, while new ones to the same leafs work.
 
 mod common;
 
@@ -23,18 +23,18 @@
 
 /// Connections that one leaf may have.
 const CONNECTIONS: u32 = 3;
-/// Leafs of the service that gets requests: many more than must be found silent.
+/// Leafs of the service that gets requests: many more than need to be found silent.
 const LEAFS: usize = 12;
-/// Calls of which a few find enough connections silent.
-const MOST_CALLS: usize = 40;
+/// More calls than are needed to find enough connections silent.
+const MAXIMUM_CALLS: usize = 40;
 /// Time between calls: a part of the time after which an answer is overdue.
 const CALL_PERIOD: Duration = Duration::from_millis(50);
 
-/// A leaf that can lose its connections without a word.
+/// A leaf that can silently lose its connections.
 struct LosingLeaf {
     address: SocketAddr,
     served: Arc<AtomicU32>,
-    /// Whether the connections that it has now are lost.
+    /// Whether the current connections are lost.
     are_lost: Arc<AtomicBool>,
 }
 
@@ -49,7 +49,7 @@
         let (served, are_lost) = (Arc::clone(&leaf.served), Arc::clone(&leaf.are_lost));
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // One that comes after the loss works.
+                // A connection opened after the loss works.
                 let is_lost = match are_lost.load(Ordering::SeqCst) {
                     true => Arc::default(),
                     false => Arc::clone(&are_lost),
@@ -60,7 +60,7 @@
         leaf
     }
 
-    /// All connections that it has are lost from now on.
+    /// Loses all current connections.
     fn lose_connections(&self) {
         self.are_lost.store(true, Ordering::SeqCst);
     }
@@ -104,7 +104,7 @@
     matches!(end, AttemptEnd::Answered(_))
 }
 
-/// A leaf with some kept connections, which it has lost.
+/// A leaf that has lost the connections that were kept to it.
 async fn leaf_that_lost_connections() -> (LosingLeaf, Rc<LeafState>) {
     let fake = LosingLeaf::start().await;
     let leaf = state_of(&fake);
@@ -116,17 +116,17 @@
     (fake, leaf)
 }
 
-/// A moment counted from another, in milliseconds.
+/// The moment this many milliseconds after `start`.
 fn after(start: Moment, millis: u64) -> Moment {
     start + Duration::from_millis(millis)
 }
 
 #[tokio::test]
-async fn a_leaf_whose_kept_connections_are_silent_is_asked_over_new_ones() {
+async fn a_leaf_whose_kept_connections_are_silent_gets_requests_over_new_ones() {
     let (fake, leaf) = leaf_that_lost_connections().await;
     let start = Clock.now();
     leaf.on_kept_overdue(after(start, 100), start);
-    assert_eq!(leaf.idle_connections(), 3, "one late answer shows nothing");
+    assert_eq!(leaf.idle_connections(), 3, "one late answer is no evidence");
     leaf.on_kept_overdue(after(start, 700), after(start, 600));
     assert_eq!(leaf.idle_connections(), 0, "silent for longer than a pause");
     assert!(is_answered(&leaf).await);
@@ -148,8 +148,8 @@
     ServiceName::new("other").expect("valid name")
 }
 
-/// A gateway with a kept connection to each leaf: of the service that gets requests, and to one of another
-/// service, which gets none.
+/// A gateway with a kept connection to each leaf of the service that gets requests, and to a leaf of another
+/// service that gets none.
 async fn gateway_with_kept(leafs: &[LosingLeaf], other: &LosingLeaf) -> Rc<Gateway> {
     let named = leafs.iter().enumerate();
     let mut entries: Vec<_> = named
@@ -193,8 +193,8 @@
         let mut calls = 0;
         while kept_to_other(&gateway) > 0 {
             calls += 1;
-            assert!(calls <= MOST_CALLS, "never closed");
-            // It need not end before the next one begins.
+            assert!(calls <= MAXIMUM_CALLS, "never closed");
+            // Calls may overlap.
             spawn_local(call(&gateway, true).run());
             tokio::time::sleep(CALL_PERIOD).await;
         }
--- a/crates/tansylead-gateway/tests/leaf_access.rs
+++ b/crates/tansylead-gateway/tests/leaf_access.rs
@@ -54,8 +54,8 @@
 
 #[test]
 fn a_change_of_homes_binds_requests_that_are_under_way() {
-    // Regression: a version that came between the route's look-up and the first attempt was taken for
-    // the route's own, and its homes did not count.
+    // Regression: a version applied between the route's look-up and the first attempt was mistaken for
+    // the one that the route came from, and its home regions were ignored.
     let gateway = gateway();
     let found = route("search", homes("bangkok"));
     apply(&gateway, 1, vec![Arc::clone(&found)]);
--- a/crates/tansylead-gateway/tests/leaf_reports.rs
+++ b/crates/tansylead-gateway/tests/leaf_reports.rs
@@ -1,4 +1,4 @@
-//! Words about silent leafs between daemons: their datagrams, and what a daemon makes of them.
+//! Datagrams in which daemons report silent leafs to each other.
 
 use proptest::prelude::*;
 use tansylead_gateway::cluster::ReportCodec;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn many_words_travel_in_few_datagrams() {
+fn many_reports_fit_into_few_datagrams() {
     let codec = ReportCodec::new("cluster");
     let reports: Vec<LeafReport> = (0..200)
         .flat_map(|number| [silent(number), answering(number)])
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn reports_of_another_cluster_are_not_heeded() {
+fn reports_of_another_cluster_are_ignored() {
     let datagrams = ReportCodec::new("other").encode(&[silent(1)]);
     assert_eq!(ReportCodec::new("cluster").decode(&datagrams[0]), None);
 }
 
 #[test]
-fn a_datagram_that_was_cut_gives_the_whole_words_before_the_cut() {
+fn a_truncated_datagram_gives_the_complete_reports_before_the_cut() {
     let codec = ReportCodec::new("cluster");
     let datagrams = codec.encode(&[silent(1), silent(2)]);
     let cut = &datagrams[0][..datagrams[0].len() - 1];
--- a/crates/tansylead-gateway/tests/panics.rs
+++ b/crates/tansylead-gateway/tests/panics.rs
@@ -12,12 +12,12 @@
         *held += 1;
         assert_ne!(*held, 1, "provoked");
     };
-    let sound = async {
+    let healthy = async {
         tokio::task::yield_now().await;
         "served"
     };
     assert_eq!(catch_panic(panicking).await, Err(RequestPanic));
-    assert_eq!(catch_panic(sound).await, Ok("served"));
-    // The borrow that was held when it panicked has been given back.
+    assert_eq!(catch_panic(healthy).await, Ok("served"));
+    // The borrow that was held when it panicked has been released.
     assert_eq!(*shared.borrow(), 1);
 }
--- a/crates/tansylead-gateway/tests/refusals.rs
+++ b/crates/tansylead-gateway/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! What the daemon's own refusals say of whether a request has run.
+//! Whether the daemon's own refusals correctly state that a request has not run.
 
 mod common;
 
@@ -22,8 +22,8 @@
 use tokio::task::LocalSet;
 
 const ID: &str = "own";
-/// Time that callers wait.
-const WAITS: Duration = Duration::from_secs(2);
+/// How long callers wait.
+const TIME_LEFT: Duration = Duration::from_secs(2);
 const REASONS: [RefusalReason; 12] = [
     RefusalReason::NoConfiguration,
     RefusalReason::NotRun,
@@ -39,14 +39,14 @@
     RefusalReason::TimedOut,
 ];
 
-/// What a leaf does with every request.
+/// How a leaf handles every request.
 #[derive(Clone, Copy)]
-enum Does {
+enum Behaviour {
     Run,
     RefuseAsFull,
 }
 
-impl Does {
+impl Behaviour {
     fn answer(self) -> String {
         let names = HeaderNames::default();
         let status = match self {
@@ -58,7 +58,7 @@
     }
 }
 
-async fn leaf(does: Does) -> SocketAddr {
+async fn leaf(behaviour: Behaviour) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
     let address = listener.local_addr().expect("bound");
     tokio::spawn(async move {
@@ -66,7 +66,7 @@
             tokio::spawn(async move {
                 let mut buffer = [0; 1024];
                 while stream.read(&mut buffer).await.is_ok_and(|read| read > 0) {
-                    let _ = stream.write_all(does.answer().as_bytes()).await;
+                    let _ = stream.write_all(behaviour.answer().as_bytes()).await;
                 }
             });
         }
@@ -92,7 +92,7 @@
         policy: Policy {
             repeatable: true,
             maximum_attempts: 2,
-            timeout: WAITS,
+            timeout: TIME_LEFT,
             objective: Duration::from_millis(250),
             priority: 1,
             homes: HomeRegions::default(),
@@ -101,14 +101,14 @@
     (Arc::new(route), set)
 }
 
-/// How a query ends whose shards have one leaf each.
-async fn ask(leafs: &[Does]) -> Outcome {
+/// Outcome of a query over shards with one leaf each.
+async fn query(leafs: &[Behaviour]) -> Outcome {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/gateway");
     let settings = GatewaySettings::load(&root.join("settings.toml")).expect("settings");
     let gateway = Rc::new(Gateway::new(settings, HeaderNames::default()));
     let mut entries = Vec::new();
-    for (index, does) in leafs.iter().enumerate() {
-        let address = leaf(*does).await;
+    for (index, behaviour) in leafs.iter().enumerate() {
+        let address = leaf(*behaviour).await;
         entries.push(common::entry(
             &format!("leaf-{index}"),
             &shard(index),
@@ -135,14 +135,14 @@
         route,
         request: Rc::new(request),
         arrived: Clock.now(),
-        time_left: WAITS,
+        time_left: TIME_LEFT,
         trace: Rc::new(RequestTrace::default()),
     };
     gather(query, &set).await
 }
 
-async fn refused_as(leafs: &[Does]) -> RefusalReason {
-    match LocalSet::new().run_until(ask(leafs)).await {
+async fn refused_as(leafs: &[Behaviour]) -> RefusalReason {
+    match LocalSet::new().run_until(query(leafs)).await {
         Outcome::Refused(refusal) => refusal.reason,
         answered => panic!("{answered:?}"),
     }
@@ -160,7 +160,7 @@
 
 #[tokio::test]
 async fn a_query_of_which_a_part_has_run_is_not_refused_as_not_run() {
-    let reason = refused_as(&[Does::Run, Does::RefuseAsFull]).await;
+    let reason = refused_as(&[Behaviour::Run, Behaviour::RefuseAsFull]).await;
     assert!(
         matches!(reason, RefusalReason::Failed | RefusalReason::TimedOut),
         "{reason:?}"
@@ -169,6 +169,6 @@
 
 #[tokio::test]
 async fn a_query_whose_only_leaf_refuses_it_is_refused_as_not_run() {
-    let reason = refused_as(&[Does::RefuseAsFull]).await;
+    let reason = refused_as(&[Behaviour::RefuseAsFull]).await;
     assert_eq!(reason, RefusalReason::NotRun);
 }
--- a/crates/tansylead-gateway/tests/suspension.rs
+++ b/crates/tansylead-gateway/tests/suspension.rs
@@ -1,13 +1,13 @@
-//! Waits while the machine is suspended: the timers of the runtime stand still, and the clock goes on.
+//! Waits while the machine is suspended: the timers of the runtime stop, and the clock continues.
 
 use std::time::Duration;
 use tansylead_gateway::Clock;
 
-/// Time by which the clock goes on while the timers stand still.
+/// Time by which the clock advances while the timers are stopped.
 const SUSPENDED: Duration = Duration::from_millis(30);
 
-/// Lets time pass for the clock alone: with the runtime's timers paused and a task ready to run, these do not
-/// go on.
+/// Lets time pass for the clock alone: the runtime's timers, which are paused, do not advance while a task is
+/// ready to run.
 fn suspend() {
     std::thread::sleep(SUSPENDED);
 }
@@ -17,7 +17,7 @@
     let moment = Clock.now() + SUSPENDED;
     let waiting = Clock.sleep_until(moment);
     tokio::pin!(waiting);
-    // The wait begins, and nothing else lets the timers go on.
+    // The wait starts, and nothing lets the timers advance.
     assert!(futures_util::poll!(&mut waiting).is_pending());
     suspend();
     assert!(futures_util::poll!(&mut waiting).is_pending());
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_in_time_beats_the_limit() {
+async fn an_answer_in_time_is_returned_even_at_the_limit() {
     let answered = Clock.timeout_at(Clock.now(), std::future::ready(1)).await;
     assert_eq!(answered, Ok(1));
     let never = std::future::pending::<()>();
