--- a/crates/tansylead-gateway/src/caller/handler.rs
+++ b/crates/tansylead-gateway/src/caller/handler.rs
@@ -67,7 +67,7 @@
         caller,
         arrived,
     } = received;
-    gateway.wait_until_known().await;
+    gateway.wait_for_initial_data().await;
     let stated = stated_time_left(gateway, &request);
     let Some(active) = gateway.active() else {
         let time_left = stated.unwrap_or(UNSTATED_TIME_LEFT);
--- a/crates/tansylead-gateway/src/caller/ready.rs
+++ b/crates/tansylead-gateway/src/caller/ready.rs
@@ -32,7 +32,7 @@
 
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream) {
     let service = service_fn(move |_: Request<Incoming>| {
-        let ready = gateway.knows_enough() && gateway.stop_phase() == StopPhase::Serving;
+        let ready = gateway.knows_all_topics() && gateway.stop_phase() == StopPhase::Serving;
         async move {
             let mut response = Response::new(Full::new(Bytes::new()));
             if !ready {
--- a/crates/tansylead-gateway/src/cluster/query_server.rs
+++ b/crates/tansylead-gateway/src/cluster/query_server.rs
@@ -43,7 +43,7 @@
     let active = gateway.active()?;
     let may_run = query.cluster == gateway.settings.cluster
         && active.configuration.version == query.version
-        && gateway.knows_enough()
+        && gateway.knows_all_topics()
         && gateway.stop_phase() < StopPhase::Closing;
     let route = active.routes.find(&query.host, query.path())?;
     let is_over_shards = matches!(route.target, Target::Shards(_));
--- a/crates/tansylead-gateway/src/leaf/leaf_availability.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_availability.rs
@@ -79,7 +79,7 @@
         self.entry.borrow().phase == LeafPhase::Draining
     }
 
-    /// Whether the entry disappeared while the source was available and the leaf had not announced that it is leaving.
+    /// Whether the entry disappeared unannounced while the source was available, or another run replaced the leaf.
     pub(super) fn has_vanished(&self) -> bool {
         let is_leaving = self.is_leaving();
         match self.entry_state.get() {
--- a/crates/tansylead-gateway/src/leaf/service_state.rs
+++ b/crates/tansylead-gateway/src/leaf/service_state.rs
@@ -75,7 +75,7 @@
     }
 
     /// Finds a run of a leaf whose entry disappeared recently.
-    pub fn missing(&self, run: &LeafRun) -> Option<Rc<LeafState>> {
+    pub fn find_missing(&self, run: &LeafRun) -> Option<Rc<LeafState>> {
         let leafs = self.leafs.borrow();
         let mut missing = leafs.iter().filter(|leaf| !leaf.is_listed());
         missing.find(|leaf| leaf.entry().run() == *run).cloned()
--- a/crates/tansylead-gateway/src/state.rs
+++ b/crates/tansylead-gateway/src/state.rs
@@ -99,7 +99,7 @@
     current_roll_outs: RefCell<RollOuts>,
     order_memory: RefCell<OrderMemory>,
     roll_out_context: Rc<RollOutContext>,
-    /// Revision up to which the orders must be known before the known leafs can be used safely.
+    /// Revision up to which the orders must be known, as required by the known leafs.
     roll_outs_needed: Cell<Revision>,
     services: RefCell<HashMap<ServiceName, Rc<ServiceState>>>,
     leafs: RefCell<HashMap<LeafId, Rc<LeafState>>>,
@@ -242,7 +242,7 @@
     }
 
     /// Whether data of every topic has been received.
-    pub fn knows_enough(&self) -> bool {
+    pub fn knows_all_topics(&self) -> bool {
         self.settings
             .bounds
             .topics()
@@ -251,7 +251,7 @@
     }
 
     /// Whether the data of a topic must not become stale. Roll-out orders may while none is open: a leaf of an
-    /// unknown version is not used until the orders have been read.
+    /// unknown version is only a last resort until the orders have been read.
     pub fn must_be_fresh(&self, topic: Topic) -> bool {
         topic != Topic::RollOuts || self.has_open_orders() || !self.knows(topic)
     }
@@ -267,13 +267,13 @@
     }
 
     /// Waits until data of every topic has been received, but no longer than `STARTUP_WAIT` after startup.
-    pub async fn wait_until_known(&self) {
-        if self.knows_enough() {
+    pub async fn wait_for_initial_data(&self) {
+        if self.knows_all_topics() {
             return;
         }
         let until = self.started + STARTUP_WAIT;
         let mut changes = self.changes();
-        let known = changes.wait_for(|_| self.knows_enough());
+        let known = changes.wait_for(|_| self.knows_all_topics());
         let _ = Clock.timeout_at(until, known).await;
     }
 
--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -193,7 +193,7 @@
         if !is_restored {
             self.removed.borrow_mut().remove(&entry.run());
         }
-        if let Some(leaf) = service.missing(&entry.run()) {
+        if let Some(leaf) = service.find_missing(&entry.run()) {
             // The run keeps the age that it had before its entry went missing.
             entry.inherit_from(&leaf.entry());
             let id = entry.leaf.clone();
--- a/crates/tansylead-gateway/src/state/roll_outs.rs
+++ b/crates/tansylead-gateway/src/state/roll_outs.rs
@@ -1,5 +1,5 @@
 //! Roll-out orders as the source reports them, passed to the services that they concern, and the revision up to
-//! which they must be known before the known leafs can be used safely.
+//! which they must be known, as required by the known leafs.
 
 use super::Gateway;
 use crate::clock::Clock;
@@ -99,7 +99,7 @@
             return;
         }
         let leafs = service.all();
-        // Leafs of a service's only version are withheld together and used together.
+        // Leafs of a service's only version are all the last resort alike, and so still serve.
         let is_first = leafs.is_empty();
         let is_known = |leaf: &Rc<LeafState>| leaf.entry().version == entry.version;
         if is_first || leafs.iter().any(is_known) {
--- a/crates/tansylead-gateway/tests/common/fleet.rs
+++ b/crates/tansylead-gateway/tests/common/fleet.rs
@@ -165,7 +165,7 @@
 }
 
 /// The directory when the old leaf is draining and the new one serves.
-pub fn without_old(fleet: &Fleet) -> DirectoryDelta {
+pub fn with_old_draining(fleet: &Fleet) -> DirectoryDelta {
     let mut leaving = entry_of("i-old", &service(), fleet.old.address, "old", BEFORE);
     leaving.phase = LeafPhase::Draining;
     let new = entry_of("i-new", &service(), fleet.new.address, "new", STARTED);
--- a/crates/tansylead-gateway/tests/common/trial.rs
+++ b/crates/tansylead-gateway/tests/common/trial.rs
@@ -113,6 +113,6 @@
 }
 
 /// A leaf that keeps working until its behaviour is changed.
-pub async fn working() -> FakeLeaf {
+pub async fn working_leaf() -> FakeLeaf {
     FakeLeaf::start(Behaviour::Work).await
 }
--- a/crates/tansylead-gateway/tests/common/versions.rs
+++ b/crates/tansylead-gateway/tests/common/versions.rs
@@ -90,7 +90,7 @@
     let mut buffer = [0; 1024];
     while stream.read(&mut buffer).await.is_ok_and(|read| read > 0) {
         served.fetch_add(1, Ordering::SeqCst);
-        let answer = match end_of_work(&behaviour).await {
+        let answer = match next_behaviour(&behaviour).await {
             Behaviour::Answer(status, after) => {
                 tokio::time::sleep(after).await;
                 format!("HTTP/1.1 {status} Said\r\n{head}Content-Length: 0\r\n\r\n")
@@ -108,7 +108,7 @@
 }
 
 /// Waits until the behaviour is other than `Work`, and returns it.
-async fn end_of_work(behaviour: &Mutex<Behaviour>) -> Behaviour {
+async fn next_behaviour(behaviour: &Mutex<Behaviour>) -> Behaviour {
     loop {
         let now = *behaviour.lock().expect("not poisoned");
         if !matches!(now, Behaviour::Work) {
--- a/crates/tansylead-gateway/tests/roll_out_attempts.rs
+++ b/crates/tansylead-gateway/tests/roll_out_attempts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::trial::{AT_ONCE, GOOD, Trial, is_answered, start, wait_for, working};
+use common::trial::{AT_ONCE, GOOD, Trial, is_answered, start, wait_for, working_leaf};
 use common::versions::{FakeLeaf, grant};
 use std::rc::Rc;
 use tansylead_gateway::Clock;
@@ -12,7 +12,7 @@
 
 #[tokio::test]
 async fn what_is_granted_is_used_once_by_attempts_that_wait_for_a_connection() {
-    let (old, new) = (FakeLeaf::good().await, working().await);
+    let (old, new) = (FakeLeaf::good().await, working_leaf().await);
     let trial = Trial::new(&old, &new);
     trial.grant(grant(Stage::Trial, 2));
     let attempts = async {
@@ -58,7 +58,7 @@
         (expired, false),
     ];
     for (last, is_sent) in cases {
-        let (old, new) = (FakeLeaf::good().await, working().await);
+        let (old, new) = (FakeLeaf::good().await, working_leaf().await);
         let trial = Trial::new(&old, &new);
         trial.grant(grant(Stage::Trial, 100));
         let was_sent = is_sent_after(&trial, &trial.new, &new, last).await;
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn nothing_is_sent_to_old_leafs_after_the_commitment() {
     for (stage, is_sent) in [(Stage::Commit, false), (Stage::Shift, true)] {
-        let (old, new) = (working().await, FakeLeaf::good().await);
+        let (old, new) = (working_leaf().await, FakeLeaf::good().await);
         let trial = Trial::new(&old, &new);
         let was_sent = is_sent_after(&trial, &trial.old, &old, grant(stage, 0)).await;
         assert_eq!(was_sent, is_sent, "{stage:?}");
@@ -78,7 +78,7 @@
 
 #[tokio::test]
 async fn attempts_that_wait_hold_back_others_until_they_end() {
-    let (old, new) = (FakeLeaf::good().await, working().await);
+    let (old, new) = (FakeLeaf::good().await, working_leaf().await);
     let trial = Trial::new(&old, &new);
     trial.grant(grant(Stage::Trial, 2));
     let preferred = || trial.versions.preferred_stage(Clock.now(), true);
--- a/crates/tansylead-gateway/tests/roll_out_ends.rs
+++ b/crates/tansylead-gateway/tests/roll_out_ends.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::fleet::{BAD, Fleet, grant_to, has_leafs, settings, without_old};
+use common::fleet::{BAD, Fleet, grant_to, has_leafs, settings, with_old_draining};
 use common::versions::{ENDED, STARTED, orders, service};
 use std::time::Duration;
 use tansylead_route::{Revision, RollOutState, Stage};
@@ -38,14 +38,14 @@
         .gateway
         .apply_roll_outs(orders([], Revision::first_era(ENDED.number + 1)));
     assert_eq!(fleet.send(2).await, (4, 1));
-    fleet.gateway.apply_directory(without_old(&fleet));
+    fleet.gateway.apply_directory(with_old_draining(&fleet));
     assert!(!has_leafs(&fleet.gateway));
 }
 
 #[tokio::test]
 async fn where_no_old_leaf_lives_the_target_is_used_within_the_grant() {
     let fleet = Fleet::ordered().await;
-    fleet.gateway.apply_directory(without_old(&fleet));
+    fleet.gateway.apply_directory(with_old_draining(&fleet));
     assert!(!has_leafs(&fleet.gateway));
     assert_eq!(fleet.ask(true).await, None);
     grant_to(&fleet.gateway, &service(), Stage::Trial, 2);
@@ -61,7 +61,7 @@
     fleet.set_state(RollOutState::Running, STARTED);
     tokio::time::sleep(Duration::from_millis(1)).await;
     assert_eq!(fleet.send(2).await, (2, 0));
-    fleet.gateway.apply_directory(without_old(&fleet));
+    fleet.gateway.apply_directory(with_old_draining(&fleet));
     assert_eq!(fleet.send(2).await, (2, 2));
 }
 
@@ -69,7 +69,7 @@
 async fn leafs_of_an_unknown_version_wait_until_the_orders_are_known() {
     let fleet = Fleet::new().await;
     assert_eq!(fleet.send(3).await, (3, 0));
-    fleet.gateway.apply_directory(without_old(&fleet));
+    fleet.gateway.apply_directory(with_old_draining(&fleet));
     assert_eq!(fleet.send(1).await, (3, 1), "it is the last resort");
     fleet.set_state(RollOutState::Ordered, STARTED);
     assert_eq!(fleet.ask(true).await, None);
@@ -80,6 +80,6 @@
     let mut unfollowed = settings();
     unfollowed.bounds.follow_roll_outs = false;
     let fleet = Fleet::with_settings(unfollowed).await;
-    fleet.gateway.apply_directory(without_old(&fleet));
+    fleet.gateway.apply_directory(with_old_draining(&fleet));
     assert_eq!(fleet.send(2).await, (0, 2));
 }
--- a/crates/tansylead-gateway/tests/roll_out_evidence.rs
+++ b/crates/tansylead-gateway/tests/roll_out_evidence.rs
@@ -5,7 +5,7 @@
 use common::terms;
 use common::trial::{
     AT_ONCE, GOOD, LIMIT, OVERDUE, Trial, attempt_within, is_answered, leaf_of, start, wait_for,
-    working,
+    working_leaf,
 };
 use common::versions::{BEFORE, Behaviour, FakeLeaf, ORDERED, STARTED, grant, order, service};
 use std::rc::Rc;
@@ -125,7 +125,7 @@
 }
 
 async fn the_end_is_told_in(stage: Stage) {
-    let (old, new) = (working().await, FakeLeaf::good().await);
+    let (old, new) = (working_leaf().await, FakeLeaf::good().await);
     let trial = Trial::new(&old, &new);
     let attempts = async {
         let attempt = start(&trial.old);
@@ -143,7 +143,7 @@
 
 #[tokio::test]
 async fn attempts_that_were_sent_before_the_order_count_as_running() {
-    let old = working().await;
+    let old = working_leaf().await;
     let versions: Rc<ServiceVersions> = Rc::default();
     let leaf = leaf_of(&versions, "i-old", &old, "old", BEFORE);
     versions.apply(Clock.now(), None, BEFORE);
