--- a/crates/tansylead-gateway/src/quarantine/send_limiter.rs
+++ b/crates/tansylead-gateway/src/quarantine/send_limiter.rs
@@ -35,9 +35,9 @@
     in_flight: Cell<u32>,
     /// Connections lost under it, without those whose leafs turned out to be running.
     lost: Cell<u32>,
-    /// Those of them under attempts that were sent one at a time.
+    /// All connections lost under attempts that were sent one at a time, also if the leaf turned out to be running.
     lost_while_serial: Cell<u32>,
-    /// Those of them whose leafs were not checked yet.
+    /// Lost connections of which it was not checked yet whether the leaf has ended.
     unchecked: Cell<u32>,
     is_answered: Cell<bool>,
     is_refused: Cell<bool>,
@@ -102,7 +102,8 @@
         trial_start
     }
 
-    /// Whether the request has waited for trials at other daemons as long as one may take.
+    /// Whether the request has waited for trials at other daemons as long as one may take. The first call starts the
+    /// wait.
     pub fn has_trial_wait_expired(&self, now: Moment) -> bool {
         let since = self.waiting_since.get().unwrap_or(now);
         self.waiting_since.set(Some(since));
--- a/crates/tansylead-gateway/src/quarantine/source_writer.rs
+++ b/crates/tansylead-gateway/src/quarantine/source_writer.rs
@@ -1,7 +1,7 @@
 //! Writes quarantined requests to the source, so that they stay refused after all daemons were lost.
 //!
 //! The daemon whose evidence decided writes at once. Those that watch the source write a little later, in case
-//! it was lost right then; a request that the source has already costs them one call.
+//! that daemon was lost right then; a request that the source has already costs them one call.
 
 use super::source_writes::SourceWrite;
 use crate::cluster::ClusterView;
@@ -13,7 +13,7 @@
 use tansylead_route::RequestFingerprint;
 use tokio::task::spawn_local;
 
-/// Least delay before other daemons than the one whose evidence decided write too.
+/// Least delay after which daemons other than the one whose evidence decided write too.
 const OTHERS_DELAY: Duration = Duration::from_secs(2);
 /// Backoff after the first failed call, doubled after each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
--- a/crates/tansylead-gateway/src/quarantine/state.rs
+++ b/crates/tansylead-gateway/src/quarantine/state.rs
@@ -60,7 +60,7 @@
 }
 
 impl QuarantineState {
-    /// The strictest verdict on a request.
+    /// The strictest of the verdicts on the fingerprints of a request.
     pub fn verdict(&self, request: &RequestFingerprints) -> Verdict {
         self.table.borrow().strictest_verdict(Clock.now(), request)
     }
@@ -200,7 +200,8 @@
         self.on_change(fingerprint, changed, fanout);
     }
 
-    /// Answers a digest that differs from this daemon's own.
+    /// Compares a digest with this daemon's own: answers with records if they differ, and learns from a complete sender
+    /// that this daemon knows everything too.
     fn compare(&self, from: SocketAddr, digest: TableDigest) {
         let own = self.digest(true);
         if digest.hash == own.hash {
