--- a/crates/tansylead-gateway/src/roll_out/context.rs
+++ b/crates/tansylead-gateway/src/roll_out/context.rs
@@ -12,7 +12,7 @@
 pub struct RollOutContext {
     /// Whether this daemon follows roll-outs; if not, versions are ignored.
     follows_roll_outs: bool,
-    /// Longest time since the last confirmation after which the orders are still relied on.
+    /// Orders that were last confirmed longer ago than this are not relied on.
     staleness_limit: Duration,
     /// Last moment at which the orders were known to be current.
     confirmed: Cell<Moment>,
--- a/crates/tansylead-gateway/src/roll_out/evidence_log.rs
+++ b/crates/tansylead-gateway/src/roll_out/evidence_log.rs
@@ -3,10 +3,10 @@
 use super::version_send::{SendEnd, SendResult};
 use tansylead_route::{OrderId, RollOutEvidence, RouteEvidence, VersionCounts};
 
-/// Routes of one service with evidence of their own: few routes lead to a service, and a report has to
-/// fit into a datagram.
+/// Bound of the routes in the evidence on one service, [`OTHER_ROUTES`] included: few routes lead to a service, and a
+/// report has to fit into a datagram.
 const MAXIMUM_ROUTES: usize = 8;
-/// Collects the evidence of all further routes.
+/// The route under which the evidence of all further routes is counted.
 const OTHER_ROUTES: u32 = 0;
 
 /// Running totals under one order.
--- a/crates/tansylead-gateway/src/roll_out/judge.rs
+++ b/crates/tansylead-gateway/src/roll_out/judge.rs
@@ -218,9 +218,9 @@
             grant_number: 0,
             grant: self.trial.grant(now, report.reporter),
         };
-        let held = self.last_grants.get(&report.reporter);
+        let last = self.last_grants.get(&report.reporter);
         let number = (report.boot, report.sequence);
-        if held.is_none_or(|held| (held.boot, held.sequence) < number) {
+        if last.is_none_or(|last| (last.boot, last.sequence) < number) {
             self.last_grants.insert(report.reporter, answer.clone());
         }
         answer
@@ -240,7 +240,7 @@
     }
 
     fn evaluate(&mut self, now: Moment, context: JudgeContext<'_>, rank: usize) -> TrialEvaluation {
-        // After the conclusion only the write itself shows whether the source is reachable.
+        // After the conclusion only the write itself shows whether the source accepts it.
         let has_concluded = self.stage.is_some_and(|stage| stage >= Stage::Commit);
         let trial_context = TrialContext {
             members: context.members,
--- a/crates/tansylead-gateway/src/roll_out/judge_metrics.rs
+++ b/crates/tansylead-gateway/src/roll_out/judge_metrics.rs
@@ -103,7 +103,7 @@
                 "tansylead_roll_out_judge_changes_total",
                 "Changes of the judge that this daemon follows",
             ),
-            trials: stages(registry),
+            trials: stage_gauges(registry),
             conclusions: counters(
                 registry,
                 "tansylead_roll_out_conclusions_total",
@@ -141,10 +141,10 @@
     }
 
     /// Sets the counts of trials by stage.
-    pub fn set_trials(&self, present: impl Iterator<Item = Stage>) {
-        let present: Vec<Stage> = present.collect();
+    pub fn set_trials(&self, stages: impl Iterator<Item = Stage>) {
+        let stages: Vec<Stage> = stages.collect();
         for stage in STAGES {
-            let count = present.iter().filter(|other| **other == stage).count();
+            let count = stages.iter().filter(|other| **other == stage).count();
             let gauge = self.trials.with_label_values(&[stage.label()]);
             gauge.set(count as i64);
         }
@@ -162,7 +162,7 @@
     }
 }
 
-fn stages(registry: &Registry) -> IntGaugeVec {
+fn stage_gauges(registry: &Registry) -> IntGaugeVec {
     let options = Opts::new(
         "tansylead_roll_out_trials",
         "Trials that this daemon judges, by stage",
--- a/crates/tansylead-gateway/src/roll_out/judge_selection.rs
+++ b/crates/tansylead-gateway/src/roll_out/judge_selection.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    fn answers(&self, now: Moment) -> bool {
+    fn is_answering(&self, now: Moment) -> bool {
         let is_silent = |since| now.since(since) > UNANSWERED_LIMIT;
         self.answer.is_some() && !self.unanswered_since.is_some_and(is_silent)
     }
@@ -50,7 +50,7 @@
 pub struct FollowedGrant {
     /// The judge.
     pub judge: NodeId,
-    /// The grant; its validity counts from now on.
+    /// The grant; `valid` is what was left of its validity when it was taken.
     pub grant: Grant,
 }
 
@@ -72,10 +72,13 @@
         {
             return;
         }
-        let mut held = std::mem::take(&mut self.states);
+        let mut previous = std::mem::take(&mut self.states);
         let states = judges.iter().map(|judge| {
-            let index = held.iter().position(|state| state.judge == *judge);
-            index.map_or_else(|| JudgeState::new(*judge), |index| held.swap_remove(index))
+            let index = previous.iter().position(|state| state.judge == *judge);
+            index.map_or_else(
+                || JudgeState::new(*judge),
+                |index| previous.swap_remove(index),
+            )
         });
         self.states = states.collect();
     }
@@ -93,8 +96,8 @@
         let Some(state) = states.find(|state| state.judge == message.judge) else {
             return false;
         };
-        let held = state.answer.map(|answer| answer.position);
-        if held.is_some_and(|held| held >= message.position()) {
+        let last = state.answer.map(|answer| answer.position);
+        if last.is_some_and(|last| last >= message.position()) {
             return false;
         }
         state.unanswered_since = None;
@@ -111,7 +114,7 @@
 
     /// Chooses the judge to follow. Returns whether it has changed.
     pub fn choose(&mut self, now: Moment) -> bool {
-        let best = self.states.iter().find(|state| state.answers(now));
+        let best = self.states.iter().find(|state| state.is_answering(now));
         let best = best.map(|state| state.judge);
         let has_changed = best != self.followed;
         if has_changed {
--- a/crates/tansylead-gateway/src/roll_out/pause_guard.rs
+++ b/crates/tansylead-gateway/src/roll_out/pause_guard.rs
@@ -1,7 +1,7 @@
 //! Detects that this process did not run for a while.
 //!
-//! Messages that were in the socket meanwhile look new although they are old: a judge that was frozen would believe
-//! that daemons still follow it which follow another one by now.
+//! Messages that were in the socket meanwhile look new although they are old: a judge that was frozen would count as
+//! its followers daemons that follow another judge by now.
 
 use std::time::Duration;
 use tansylead_types::Moment;
--- a/crates/tansylead-gateway/src/roll_out/report_pace.rs
+++ b/crates/tansylead-gateway/src/roll_out/report_pace.rs
@@ -4,7 +4,7 @@
 
 /// Period of reports while there are changes: a few reports fit into the time in which a bad version must be noticed.
 pub const BUSY_PERIOD: Duration = Duration::from_millis(200);
-/// Period of reports without changes: less than the validity of a grant.
+/// Period of reports without changes: no longer than the validity of a grant.
 pub const QUIET_PERIOD: Duration = Duration::from_secs(1);
 /// Most reports that a judge of one roll-out gets in a second: with the answers some 0.3 MB a second, and a small
 /// part of a small machine's processor.
--- a/crates/tansylead-gateway/src/roll_out/reporter.rs
+++ b/crates/tansylead-gateway/src/roll_out/reporter.rs
@@ -84,8 +84,8 @@
         self.selection.followed()
     }
 
-    /// The stage that was granted last. It no longer changes after the first conclusion, as for requests: other judges
-    /// take the conclusion over from the reports.
+    /// The stage that was granted last. It stays at the first conclusion that was granted, as does the stage by which
+    /// this daemon sends requests: other judges take the conclusion over from the reports.
     pub fn stage(&self) -> Option<Stage> {
         self.stage
     }
--- a/crates/tansylead-gateway/src/roll_out/running_sends.rs
+++ b/crates/tansylead-gateway/src/roll_out/running_sends.rs
@@ -41,7 +41,7 @@
     }
 
     /// Running attempts at leafs of other versions than `target`, and at leafs of `target`.
-    pub(super) fn by_side(&self, target: &SoftwareVersion) -> (u32, u32) {
+    pub(super) fn split_by_target(&self, target: &SoftwareVersion) -> (u32, u32) {
         let versions = self.versions.borrow();
         versions.iter().fold((0, 0), |(old, new), running| {
             if running.version.as_ref() == Some(target) {
--- a/crates/tansylead-gateway/src/roll_out/service_versions.rs
+++ b/crates/tansylead-gateway/src/roll_out/service_versions.rs
@@ -38,7 +38,7 @@
     /// Applies the order for the service, `None` if there is none, as of the revision `known_up_to` of the source.
     pub fn apply(&self, now: Moment, order: Option<&RollOut>, known_up_to: Revision) {
         let mut gate = self.gate.borrow_mut();
-        let ended = gate.trial().map(|trial| trial.service.clone());
+        let previous = gate.trial().map(|trial| trial.service.clone());
         let is_other_order = gate.apply(order, known_up_to);
         let trial = gate.trial();
         self.is_under_trial.set(trial.is_some());
@@ -50,7 +50,7 @@
             }
             Some(_) => {}
         }
-        match (ended, trial) {
+        match (previous, trial) {
             (Some(service), None) => self.context.metrics.remove_service(service.as_str()),
             (_, Some(_)) if is_other_order => self.update_sends_left(&gate, now),
             _ => return,
@@ -210,7 +210,7 @@
         let gate = self.gate.borrow();
         let trial = gate.trial()?;
         let is_moving = matches!(gate.stage(), Some(Stage::Shift | Stage::Commit));
-        is_moving.then(|| self.running.by_side(&trial.target).0)
+        is_moving.then(|| self.running.split_by_target(&trial.target).0)
     }
 
     /// The order under trial, with this daemon's evidence since it learned of the order.
@@ -219,7 +219,7 @@
         let trial = gate.trial()?;
         let log = self.evidence.borrow();
         let mut evidence = log.as_ref()?.totals().clone();
-        let (old, new) = self.running.by_side(&trial.target);
+        let (old, new) = self.running.split_by_target(&trial.target);
         evidence.running_on_old = old;
         evidence.running_on_new = new;
         Some((trial.clone(), evidence))
--- a/crates/tansylead-gateway/src/roll_out/source_calls.rs
+++ b/crates/tansylead-gateway/src/roll_out/source_calls.rs
@@ -83,7 +83,7 @@
     /// Reads all orders and applies them here; repeats the read until it succeeds.
     ///
     /// A single order that is newer than the others known here cannot be applied alone: the orders are known
-    /// up to one revision, and decide on the leafs of older revisions.
+    /// up to one revision, and decide on all leafs whose entries are not newer than it.
     pub async fn read_and_apply_all(&self) {
         let mut backoff = INITIAL_BACKOFF;
         loop {
