--- a/crates/tansylead-gateway/tests/quarantine.rs
+++ b/crates/tansylead-gateway/tests/quarantine.rs
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_convicted_request_is_sent_however_many_others_lost_leafs() {
+fn a_quarantined_request_is_sent_however_many_others_lost_leafs() {
     const VICTIMS: usize = 300;
     let state = QuarantineState::default();
     let now = Clock.now();
@@ -227,20 +227,20 @@
 }
 
 #[test]
-fn a_leaf_that_ends_after_a_request_was_given_up_counts_for_a_while() {
-    let leaf_runs = LostRuns::default();
+fn a_leaf_that_ends_after_a_request_was_abandoned_counts_for_a_while() {
+    let lost_runs = LostRuns::default();
     let now = Clock.now();
-    let given_up = |at| LostRun {
+    let abandoned = |at| LostRun {
         fingerprints: fatal(),
         sent: at - Duration::from_millis(30),
         lost: at,
         care: Rc::default(),
     };
-    leaf_runs.abandon(given_up(now));
+    lost_runs.abandon(abandoned(now));
     let later = now + Duration::from_secs(1);
-    assert!(leaf_runs.take_abandoned(later).is_empty());
-    leaf_runs.abandon(given_up(now));
+    assert!(lost_runs.take_abandoned(later).is_empty());
+    lost_runs.abandon(abandoned(now));
     let soon = now + Duration::from_millis(100);
-    assert_eq!(leaf_runs.take_abandoned(soon).len(), 1);
-    assert!(leaf_runs.take_abandoned(soon).is_empty());
+    assert_eq!(lost_runs.take_abandoned(soon).len(), 1);
+    assert!(lost_runs.take_abandoned(soon).is_empty());
 }
--- a/crates/tansylead-gateway/tests/roll_out_conclusions.rs
+++ b/crates/tansylead-gateway/tests/roll_out_conclusions.rs
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn the_first_judge_notes_the_beginning_and_writes_the_end_once() {
+async fn the_first_judge_writes_the_beginning_and_the_end_once() {
     World::run(async |world| {
         world.until_rolled_back().await;
         let first = &world.fleet.daemon(world.judges[0]).gateway;
@@ -83,7 +83,7 @@
 async fn a_lost_answer_is_read_back() {
     World::run(async |world| {
         let is_running = || world.state() == Some(RollOutState::Running);
-        until("the beginning is noted", is_running).await;
+        until("the beginning is written", is_running).await;
         let faults = [Fault::AnswerLost];
         world.source.write_faults.borrow_mut().extend(faults);
         world.until_rolled_back().await;
--- a/crates/tansylead-gateway/tests/roll_out_evidence.rs
+++ b/crates/tansylead-gateway/tests/roll_out_evidence.rs
@@ -17,7 +17,7 @@
 use tokio::task::{LocalSet, spawn_local};
 
 #[tokio::test]
-async fn answers_are_evidence_on_their_side_and_refusals_are_not() {
+async fn answers_are_evidence_on_the_version_of_their_leaf_and_refusals_are_not() {
     let (old, new) = (FakeLeaf::good().await, FakeLeaf::good().await);
     let trial = Trial::new(&old, &new);
     trial.grant(grant(Stage::Trial, 100));
--- a/crates/tansylead-gateway/tests/roll_out_reporter.rs
+++ b/crates/tansylead-gateway/tests/roll_out_reporter.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    fn answered(&mut self, judge: NodeId, report: &RollOutReport, grant: Grant) -> AnswerEnd {
+    fn deliver_answer(&mut self, judge: NodeId, report: &RollOutReport, grant: Grant) -> AnswerEnd {
         let now = self.now();
         let end = self.reporter.on_answer(now, &answer(judge, report, grant));
         self.reporter.choose_judge(now, &judges());
@@ -109,7 +109,7 @@
             self.millis += STEP_MILLIS;
             if let Some(report) = self.report() {
                 for judge in answering {
-                    self.answered(*judge, &report, grant);
+                    self.deliver_answer(*judge, &report, grant);
                 }
             }
             self.reporter.take_grant(self.now());
@@ -126,7 +126,7 @@
         if let Some(report) = daemon.report() {
             reports += 1;
             for judge in judges() {
-                daemon.answered(judge, &report, grant(1, Stage::Trial));
+                daemon.deliver_answer(judge, &report, grant(1, Stage::Trial));
             }
         }
     }
@@ -173,7 +173,7 @@
         daemon.run(1_000, &judges(), grant(9, stage));
         // Right after a report; all reports are answered.
         let report = daemon.next_report();
-        daemon.answered(node(1), &report, grant(9, stage));
+        daemon.deliver_answer(node(1), &report, grant(9, stage));
         daemon.millis += STEP_MILLIS;
         daemon.evidence.running_on_old = 0;
         assert_eq!(daemon.report().is_some(), at_once);
@@ -187,7 +187,7 @@
     let mut daemon = Daemon::new();
     daemon.run(1_000, &judges(), grant(9, Stage::Shift));
     let report = daemon.next_report();
-    daemon.answered(node(1), &report, grant(9, Stage::Shift));
+    daemon.deliver_answer(node(1), &report, grant(9, Stage::Shift));
     daemon.millis += STEP_MILLIS;
     let committed = GrantMessage {
         grant_number: 1,
@@ -209,9 +209,9 @@
 fn the_best_judge_that_answers_is_followed() {
     let mut daemon = Daemon::new();
     let report = daemon.next_report();
-    daemon.answered(node(2), &report, grant(2, Stage::Trial));
+    daemon.deliver_answer(node(2), &report, grant(2, Stage::Trial));
     assert_eq!(daemon.reporter.followed(), Some(node(2)));
-    daemon.answered(node(1), &report, grant(1, Stage::Trial));
+    daemon.deliver_answer(node(1), &report, grant(1, Stage::Trial));
     assert_eq!(daemon.reporter.followed(), Some(node(1)));
     let taken = daemon.reporter.take_grant(daemon.now());
     assert_eq!(
@@ -235,14 +235,14 @@
         }
     }
     assert_eq!(daemon.reporter.followed(), Some(node(2)));
-    // A quiet second may pass before the first report without an answer.
+    // The first unanswered report is sent up to a busy period after the judge fell silent.
     assert!(
         left_after.is_some_and(|millis| (400..=700).contains(&millis)),
         "{left_after:?}"
     );
     daemon.evidence.requests += 1;
     let report = daemon.next_report();
-    daemon.answered(node(1), &report, grant(3, Stage::Trial));
+    daemon.deliver_answer(node(1), &report, grant(3, Stage::Trial));
     assert_eq!(daemon.reporter.followed(), Some(node(1)));
 }
 
@@ -273,13 +273,13 @@
     daemon.evidence.requests += 1;
     let later = daemon.next_report();
     assert_eq!(
-        daemon.answered(node(1), &later, grant(20, Stage::Shift)),
+        daemon.deliver_answer(node(1), &later, grant(20, Stage::Shift)),
         AnswerEnd::Accepted
     );
     let taken = daemon.reporter.take_grant(daemon.now()).expect("new");
     assert_eq!(taken.grant.limit, 20);
     for report in [&earlier, &later] {
-        let end = daemon.answered(node(1), report, grant(10, Stage::Trial));
+        let end = daemon.deliver_answer(node(1), report, grant(10, Stage::Trial));
         assert_eq!(end, AnswerEnd::Superseded);
         assert_eq!(daemon.reporter.take_grant(daemon.now()), None);
     }
@@ -287,11 +287,11 @@
     let mut foreign = daemon.next_report();
     foreign.boot = BOOT - 1;
     assert_eq!(
-        daemon.answered(node(1), &foreign, grant(99, Stage::Trial)),
+        daemon.deliver_answer(node(1), &foreign, grant(99, Stage::Trial)),
         AnswerEnd::Late
     );
     assert_eq!(
-        daemon.answered(node(8), &later, grant(99, Stage::Trial)),
+        daemon.deliver_answer(node(8), &later, grant(99, Stage::Trial)),
         AnswerEnd::Superseded
     );
 }
@@ -302,7 +302,7 @@
     let report = daemon.next_report();
     daemon.millis += 5_000;
     assert_eq!(
-        daemon.answered(node(1), &report, grant(50, Stage::Trial)),
+        daemon.deliver_answer(node(1), &report, grant(50, Stage::Trial)),
         AnswerEnd::Late
     );
     assert_eq!(daemon.reporter.take_grant(daemon.now()), None);
@@ -313,7 +313,7 @@
     let mut daemon = Daemon::new();
     daemon.run(2_000, &judges(), grant(1, Stage::Trial));
     let report = daemon.next_report();
-    daemon.answered(node(1), &report, grant(2, Stage::Trial));
+    daemon.deliver_answer(node(1), &report, grant(2, Stage::Trial));
     daemon.millis += 900;
     let unsolicited = |grant_number, limit| GrantMessage {
         grant_number,
@@ -344,8 +344,8 @@
 fn a_grant_that_was_kept_for_the_next_judge_is_valid_for_what_is_left_of_it() {
     let mut daemon = Daemon::new();
     let report = daemon.next_report();
-    daemon.answered(node(1), &report, grant(1, Stage::Trial));
-    daemon.answered(node(2), &report, grant(2, Stage::Trial));
+    daemon.deliver_answer(node(1), &report, grant(1, Stage::Trial));
+    daemon.deliver_answer(node(2), &report, grant(2, Stage::Trial));
     daemon.reporter.take_grant(daemon.now());
     daemon.millis += 100;
     // The first judge is no longer a member.
@@ -371,7 +371,7 @@
         let reported = [Stage::Trial, Stage::Shift, concluded, concluded, concluded];
         let mut report = first;
         for (granted, reported) in granted.into_iter().zip(reported) {
-            daemon.answered(node(1), &report, grant(1, granted));
+            daemon.deliver_answer(node(1), &report, grant(1, granted));
             daemon.reporter.take_grant(daemon.now());
             daemon.evidence.requests += 1;
             report = daemon.next_report();
--- a/crates/tansylead-gateway/tests/roll_out_world/faulty_source.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/faulty_source.rs
@@ -29,6 +29,7 @@
 #[derive(Debug)]
 pub struct FaultySource {
     orders: RefCell<RollOuts>,
+    /// Writes that are applied after the next read.
     late: RefCell<Vec<(RollOut, RollOutState)>>,
     /// Outcomes of the next writes.
     pub write_faults: RefCell<VecDeque<Fault>>,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Adds an order. Returns its current state.
+    /// Gives the service an order, in place of an earlier one. Returns it.
     pub fn add_order(&self, number: u64, duration: Duration) -> RollOut {
         let changed_at = self.next_revision();
         let order = order(number, duration, changed_at);
--- a/crates/tansylead-gateway/tests/roll_out_world/fleet.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/fleet.rs
@@ -39,7 +39,8 @@
     pub cut: RefCell<BTreeSet<NodeId>>,
     /// Reports that were sent, including lost ones.
     pub reports: RefCell<Vec<RollOutReport>>,
-    /// Share of the messages that are lost, and of those that are duplicated; all that arrive get a random delay.
+    /// Share of the messages that are lost; as many are duplicated. Unless it is 0, all that arrive are delayed by a
+    /// random time.
     pub faults: std::cell::Cell<f64>,
 }
 
--- a/crates/tansylead-gateway/tests/roll_outs_needed.rs
+++ b/crates/tansylead-gateway/tests/roll_outs_needed.rs
@@ -150,10 +150,10 @@
     assert_eq!(gateway.roll_outs(), Some(newest));
 }
 
-/// A source without changes: a watch waits until its timeout, and each read is of a later revision.
+/// A source that announces no changes, and returns no orders as of the revision that the test has set.
 #[derive(Debug, Default)]
 struct QuietSource {
-    /// Revision of the source; rises with each leaf.
+    /// Revision of the source; the test raises it with each leaf.
     revision: Cell<u64>,
     reads: Cell<u32>,
     asked: RefCell<Vec<Freshness>>,
