--- a/crates/tansylead-gateway/tests/roll_out_conclusions.rs
+++ b/crates/tansylead-gateway/tests/roll_out_conclusions.rs
@@ -71,8 +71,8 @@
     World::run(async |world| {
         world.until_rolled_back().await;
         let first = &world.fleet.daemon(world.judges[0]).gateway;
-        let is_in_force = || known_state(first) == Some(RollOutState::RolledBack);
-        until("it is in force at its judge", is_in_force).await;
+        let is_applied = || known_state(first) == Some(RollOutState::RolledBack);
+        until("its judge has applied it", is_applied).await;
         let expected = [RollOutState::Running, RollOutState::RolledBack];
         assert_eq!(*world.source.writes.borrow(), expected);
     })
@@ -88,8 +88,8 @@
         world.source.write_faults.borrow_mut().extend(faults);
         world.until_rolled_back().await;
         let first = &world.fleet.daemon(world.judges[0]).gateway;
-        let is_in_force = || known_state(first) == Some(RollOutState::RolledBack);
-        until("it is in force at its judge", is_in_force).await;
+        let is_applied = || known_state(first) == Some(RollOutState::RolledBack);
+        until("its judge has applied it", is_applied).await;
         assert_eq!(world.conclusions(), [RollOutState::RolledBack]);
     })
     .await;
@@ -112,8 +112,8 @@
         let written = world.source.current();
         // The other daemons get no message: the next judge takes the conclusion over, and finds it at the source.
         let next = &world.fleet.daemon(world.judges[1]).gateway;
-        let is_in_force = || known_state(next) == Some(RollOutState::RolledBack);
-        until("the next judge knows", is_in_force).await;
+        let is_applied = || known_state(next) == Some(RollOutState::RolledBack);
+        until("the next judge knows", is_applied).await;
         assert_eq!(world.source.current(), written);
     })
     .await;
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn nothing_is_written_to_an_order_that_was_taken_back() {
+async fn nothing_is_written_to_a_withdrawn_order() {
     World::run(async |world| {
         world.source.remove_order();
         world.fleet.set_orders(&world.source.orders());
