--- a/crates/tansylead-gateway/src/cluster/datagram_codec.rs
+++ b/crates/tansylead-gateway/src/cluster/datagram_codec.rs
@@ -1,5 +1,5 @@
-//! Datagrams of messages on the membership's socket: membership's frame, under a version of their own for each
-//! kind of message, around postcard-encoded messages.
+//! Datagrams with messages of other kinds on the membership's socket: the frame of membership packets, with
+//! a version of its own for each kind of message, around postcard-encoded messages.
 //!
 //! Invariants: encoding yields no more than a datagram holds; decoding arbitrary bytes never panics.
 
@@ -13,18 +13,19 @@
 
 /// A message that travels in datagrams.
 pub trait DatagramMessage: Serialize + DeserializeOwned {
-    /// Version of datagrams with such messages; each kind and membership's own have another.
+    /// Frame version that marks datagrams of this kind; it differs from those of the other kinds and of
+    /// membership packets.
     const VERSION: u8;
 }
 
-/// Encodes and decodes one kind of messages within one cluster.
+/// Encodes and decodes messages of one kind within one cluster.
 #[derive(Debug)]
 pub struct DatagramCodec<M> {
     frame: PacketFrame,
     messages: PhantomData<fn() -> M>,
 }
 
-/// What became of messages that were encoded.
+/// Result of encoding messages.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EncodedDatagrams {
     /// Datagrams that hold the messages, in order.
@@ -61,8 +62,8 @@
         encoded
     }
 
-    /// The messages of a datagram; none if it is of another kind or cluster. What cannot be read
-    /// ends the messages.
+    /// The messages of a datagram; none if it is of another kind or cluster. Decoding stops at the first
+    /// message that cannot be read.
     pub fn decode(&self, bytes: &[u8]) -> Option<Vec<M>> {
         let mut rest = self.frame.contents(bytes).ok()?;
         let mut messages = Vec::new();
--- a/crates/tansylead-gateway/src/cluster/feed_client.rs
+++ b/crates/tansylead-gateway/src/cluster/feed_client.rs
@@ -1,8 +1,8 @@
-//! Keeps a long poll open at one other daemon and takes in what is newer.
+//! Keeps a long poll open at one other daemon and applies what is newer.
 
-use super::feed_message::{FeedReply, FeedRequest, WordAges, decode, encode, is_fresher, millis};
+use super::feed_message::{FeedReply, FeedRequest, TopicAges, decode, encode, is_fresher, millis};
 use super::peer_server::{Frames, PeerRequest, frames};
-use super::peer_turn::PeerTurn;
+use super::peer_session::PeerSession;
 use super::view::ClusterView;
 use crate::clock::Clock;
 use crate::source::Topic;
@@ -18,22 +18,22 @@
 
 /// A poll without news is answered after this time.
 const POLL_WAIT: Duration = Duration::from_secs(1);
-/// Time for the way to a peer and back, and for connecting.
-const WAY_LIMIT: Duration = Duration::from_millis(600);
-/// A daemon that knows no leafs asks far daemons for all of them after this time only: by then it has found those
-/// of its own region, if there are any.
+/// Time limit of a round trip to a peer, and of connecting.
+const ROUND_TRIP_LIMIT: Duration = Duration::from_millis(600);
+/// A daemon that knows no leafs asks daemons of other regions for all of them only after this time: by then it has
+/// found those of its own region, if there are any.
 const NEAR_DIRECTORY_WAIT: Duration = Duration::from_secs(1);
-/// Wait after a failure, times a random factor of 0.5 to 1.5.
-const RETRY_WAIT: Duration = Duration::from_millis(200);
+/// Backoff after a failure, times a random factor of 0.5 to 1.5.
+const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The long poll at another daemon.
 #[derive(Debug)]
 pub struct PeerFeed {
     gateway: Rc<Gateway>,
     view: Rc<ClusterView>,
-    /// Failures in a row; also how many of the best peers to pass over.
+    /// Consecutive failures; also how many of the best peers to skip.
     failures: usize,
-    /// Whether the last reply told of changes of the leaf directory that it did not bring.
+    /// Whether the last reply showed that the peer holds changes of the leaf directory that it did not send.
     lacks_changes: Cell<bool>,
 }
 
@@ -53,7 +53,7 @@
         loop {
             let peers = self.view.feed_peers();
             if peers.is_empty() {
-                tokio::time::sleep(RETRY_WAIT).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
                 continue;
             }
             let peer = peers[self.failures % peers.len()];
@@ -63,29 +63,29 @@
                     log::debug!(error:% = error; "feed of a peer failed");
                     self.failures += 1;
                     let factor = rand::random_range(0.5..1.5);
-                    tokio::time::sleep(RETRY_WAIT.mul_f64(factor)).await;
+                    tokio::time::sleep(RETRY_BACKOFF.mul_f64(factor)).await;
                 }
             }
         }
     }
 
     async fn poll_peer(&self, peer: SocketAddr) -> Result<(), StepError> {
-        let connecting = tokio::time::timeout(WAY_LIMIT, TcpStream::connect(peer)).await;
+        let connecting = tokio::time::timeout(ROUND_TRIP_LIMIT, TcpStream::connect(peer)).await;
         let connected =
             connecting.map_err(|cause| StepError::new("connect to peer", peer, cause))?;
         let stream = connected.map_err(|cause| StepError::new("connect to peer", peer, cause))?;
         let mut frames = frames(stream);
-        let mut turn = PeerTurn::new(self.failures > 0);
+        let mut session = PeerSession::new(self.failures > 0);
         loop {
-            let asked = Clock.now();
+            let asked_at = Clock.now();
             let reply = self.poll(&mut frames, peer).await?;
             let came_at_once = reply.waited_millis == 0;
-            let was_useful = self.take_in(reply, asked, peer)?;
+            let was_useful = self.apply_reply(reply, asked_at, peer)?;
             if came_at_once && !was_useful {
-                // The peer thinks that it has news, and would answer at once again and again.
-                tokio::time::sleep(RETRY_WAIT).await;
+                // The peer regards what it holds as news, and would answer each poll at once.
+                tokio::time::sleep(RETRY_BACKOFF).await;
             }
-            if turn.on_answer(self.view.is_best_feed_peer(peer)) {
+            if session.on_answer(self.view.is_best_feed_peer(peer)) {
                 return Ok(());
             }
         }
@@ -100,7 +100,7 @@
             evacuated: self.gateway.evacuated(),
             roll_outs: self.gateway.roll_outs_mark(),
             roll_outs_needed_up_to: self.gateway.needed_roll_outs(),
-            ages: WordAges::of(&self.gateway),
+            ages: TopicAges::of(&self.gateway),
             wants_whole_directory: self.wants_whole_directory(peer),
             wait_millis: millis(POLL_WAIT),
         };
@@ -115,33 +115,33 @@
                 None => Err(StepError::new("read feed reply", peer, "closed")),
             }
         };
-        let limit = POLL_WAIT + WAY_LIMIT;
+        let limit = POLL_WAIT + ROUND_TRIP_LIMIT;
         let replied = tokio::time::timeout(limit, exchange).await;
         replied.map_err(|cause| StepError::new("poll peer", peer, cause))?
     }
 
-    /// Whole directories are large and bytes between regions dear: from far away only if what is held
-    /// cannot be brought up to date by changes, and a daemon that knows none gives those of its own region the
-    /// time to bring one.
+    /// Whole directories are large and traffic between regions is expensive: a daemon of another region is asked for
+    /// one only if changes cannot bring the own directory up to date. A daemon that has no directory first
+    /// gives those of its own region time to provide one.
     fn wants_whole_directory(&self, peer: SocketAddr) -> bool {
         let gateway = &self.gateway;
-        let limit = gateway.settings.bounds.word_limit();
+        let limit = gateway.settings.bounds.staleness_limit();
         let is_unknown =
             gateway.directory().revision().is_none() && gateway.uptime() > NEAR_DIRECTORY_WAIT;
-        let is_old = gateway.age(Topic::Leafs).is_some_and(|age| age > limit);
-        let cannot_follow = is_unknown || is_old || self.lacks_changes.get();
+        let is_stale = gateway.age(Topic::Leafs).is_some_and(|age| age > limit);
+        let cannot_follow = is_unknown || is_stale || self.lacks_changes.get();
         cannot_follow || self.view.is_in_own_region(peer)
     }
 
-    /// Takes in what is newer. Returns whether anything was, or the word was fresher.
-    fn take_in(
+    /// Applies what is newer. Returns whether anything was newer, or confirmed more recently.
+    fn apply_reply(
         &self,
         mut reply: FeedReply,
-        asked: Moment,
+        asked_at: Moment,
         peer: SocketAddr,
     ) -> Result<bool, StepError> {
         let gateway = &self.gateway;
-        let held = Held::of(gateway);
+        let held = HeldVersions::of(gateway);
         if let Some(configuration) = reply.configuration.take() {
             gateway.apply_configuration(configuration);
         }
@@ -157,9 +157,9 @@
         if let Some(mark) = reply.roll_outs_held {
             gateway.advance_roll_outs(mark);
         }
-        let is_fresher = self.confirm(&reply, asked);
-        let is_newer = Held::of(gateway) != held;
-        let limit = gateway.settings.bounds.word_limit();
+        let is_fresher = self.confirm(&reply, asked_at);
+        let is_newer = HeldVersions::of(gateway) != held;
+        let limit = gateway.settings.bounds.staleness_limit();
         let topics = gateway.settings.bounds.topics().iter().copied();
         let must_be_fresh = topics.filter(|topic| gateway.must_be_fresh(*topic));
         if reply.ages.is_any_older_than(limit, must_be_fresh) {
@@ -168,27 +168,27 @@
         Ok(is_newer || is_fresher)
     }
 
-    /// The peer's word confirms what is held here only if the peer holds the same, now that its reply
-    /// was taken in: one that holds more may have left changes out. Daemons that poll this one are
-    /// told at once: at their next poll the word would be older by a whole poll for each daemon on the
-    /// way from the source. Returns whether the word is fresher than what was held.
-    fn confirm(&self, reply: &FeedReply, asked: Moment) -> bool {
+    /// Confirms the topics of which the peer holds the same as this daemon after its reply was applied: a peer that
+    /// holds more may have left changes out. Daemons that poll this one are notified at once: if they
+    /// learned of the confirmation at their next poll, data would be older by a whole poll for each daemon
+    /// between them and the source. Returns whether any topic was confirmed more recently than before.
+    fn confirm(&self, reply: &FeedReply, asked_at: Moment) -> bool {
         let gateway = &self.gateway;
         let waited = Duration::from_millis(reply.waited_millis.into());
-        let way = Clock.now().since(asked).saturating_sub(waited);
+        let round_trip = Clock.now().since(asked_at).saturating_sub(waited);
         let mut is_news = false;
         if reply.version == gateway.version() {
-            is_news |= self.confirm_topic(Topic::Configuration, reply.ages, way);
+            is_news |= self.confirm_topic(Topic::Configuration, reply.ages, round_trip);
         }
         let revision = gateway.directory().revision();
         if reply.revision == revision {
-            is_news |= self.confirm_topic(Topic::Leafs, reply.ages, way);
+            is_news |= self.confirm_topic(Topic::Leafs, reply.ages, round_trip);
         }
         if holds_the_same_zones(reply, gateway) {
-            is_news |= self.confirm_topic(Topic::Evacuations, reply.ages, way);
+            is_news |= self.confirm_topic(Topic::Evacuations, reply.ages, round_trip);
         }
         if holds_the_same_orders(reply, gateway) {
-            is_news |= self.confirm_topic(Topic::RollOuts, reply.ages, way);
+            is_news |= self.confirm_topic(Topic::RollOuts, reply.ages, round_trip);
         }
         self.lacks_changes.set(reply.revision > revision);
         if is_news {
@@ -197,10 +197,11 @@
         is_news
     }
 
-    /// Takes in a word that was as old as told when it left, and has been on its way for `way` at
-    /// most. Returns whether it is fresher than what was held, by as much as is worth passing on.
-    fn confirm_topic(&self, topic: Topic, ages: WordAges, way: Duration) -> bool {
-        let age = ages.age(topic).map(|age| age + way);
+    /// Confirms a topic with the age that the peer reported when it replied, plus `round_trip` as the longest time
+    /// for which the reply was in flight. Returns whether the data is fresher than before, by enough to be
+    /// worth passing on.
+    fn confirm_topic(&self, topic: Topic, ages: TopicAges, round_trip: Duration) -> bool {
+        let age = ages.age(topic).map(|age| age + round_trip);
         let held = self.gateway.age(topic);
         if let Some(age) = age {
             self.gateway.confirm(topic, Clock.now() - age);
@@ -209,16 +210,16 @@
     }
 }
 
-/// What a daemon holds of each topic.
+/// Versions and revisions of the topics that a daemon holds.
 #[derive(Debug, PartialEq)]
-struct Held {
+struct HeldVersions {
     version: Option<u64>,
     revision: Option<Revision>,
     evacuated: Option<EvacuatedZones>,
     roll_outs: Option<RollOutsMark>,
 }
 
-impl Held {
+impl HeldVersions {
     fn of(gateway: &Gateway) -> Self {
         Self {
             version: gateway.version(),
@@ -229,15 +230,15 @@
     }
 }
 
-/// Whether the same orders to roll out stand by what the peer holds and by what is held here.
+/// Whether the peer and this daemon hold the same orders to roll out.
 fn holds_the_same_orders(reply: &FeedReply, gateway: &Gateway) -> bool {
-    let told = reply.roll_outs_held.map(|held| held.digest);
-    told.is_some() && told == gateway.roll_outs_mark().map(|held| held.digest)
+    let of_peer = reply.roll_outs_held.map(|held| held.digest);
+    of_peer.is_some() && of_peer == gateway.roll_outs_mark().map(|held| held.digest)
 }
 
-/// Whether the same zones are being emptied by what the peer holds and by what is held here.
+/// Whether the same zones are being emptied according to the peer and to this daemon.
 fn holds_the_same_zones(reply: &FeedReply, gateway: &Gateway) -> bool {
-    let told = reply.evacuated.as_ref().map(|told| &told.zones);
+    let of_peer = reply.evacuated.as_ref().map(|evacuated| &evacuated.zones);
     let held = gateway.evacuated();
-    told.is_some() && told == held.as_ref().map(|held| &held.zones)
+    of_peer.is_some() && of_peer == held.as_ref().map(|held| &held.zones)
 }
--- a/crates/tansylead-gateway/src/cluster/feed_message.rs
+++ b/crates/tansylead-gateway/src/cluster/feed_message.rs
@@ -15,13 +15,13 @@
 /// Largest frame, in bytes.
 const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// Words whose ages differ by less are the same word, measured twice.
-const FRESHER_BY: Duration = Duration::from_secs(1);
+/// Ages that differ by less may stem from the same confirmation by the source, measured twice.
+const MINIMUM_AGE_DIFFERENCE: Duration = Duration::from_secs(1);
 
 /// Time since what a daemon holds of each topic was known to be current, in milliseconds; none if it
 /// never was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WordAges {
+pub struct TopicAges {
     /// Of the configuration.
     pub configuration: Option<u32>,
     /// Of the leaf directory.
@@ -32,7 +32,7 @@
     pub roll_outs: Option<u32>,
 }
 
-impl WordAges {
+impl TopicAges {
     /// The ages at a daemon now.
     pub(super) fn of(gateway: &Gateway) -> Self {
         Self {
@@ -54,7 +54,7 @@
         millis.map(|millis| Duration::from_millis(millis.into()))
     }
 
-    /// Whether the word of any topic is fresher than in `other`, by as much as is worth telling.
+    /// Whether the data of any topic is fresher than in `other`, by enough to be worth sending.
     pub fn is_fresher_than(self, other: Self) -> bool {
         let topics = [
             Topic::Configuration,
@@ -67,7 +67,7 @@
             .any(|topic| is_fresher(self.age(topic), other.age(topic)))
     }
 
-    /// Whether the word of any of these topics is older than `limit`.
+    /// Whether the data of any of these topics is older than `limit`.
     pub(super) fn is_any_older_than(
         self,
         limit: Duration,
@@ -78,12 +78,12 @@
     }
 }
 
-/// Whether a word of this age is fresher than another by as much as is worth telling.
+/// Whether data of this age is fresher than other data, by enough to be worth sending.
 pub(super) fn is_fresher(age: Option<Duration>, other: Option<Duration>) -> bool {
-    age.is_some_and(|age| other.is_none_or(|other| other > age + FRESHER_BY))
+    age.is_some_and(|age| other.is_none_or(|other| other > age + MINIMUM_AGE_DIFFERENCE))
 }
 
-/// What the asking daemon holds.
+/// What the polling daemon holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct FeedRequest {
     /// Name of the deployment; requests of others are not answered.
@@ -96,26 +96,26 @@
     pub(super) evacuated: Option<EvacuatedZones>,
     /// Orders to roll out.
     pub(super) roll_outs: Option<RollOutsMark>,
-    /// The orders must be known up to this revision, and are not.
+    /// Revision up to which the polling daemon needs the orders, if it does not know them so far.
     pub(super) roll_outs_needed_up_to: Option<Revision>,
-    /// How old its word is.
-    pub(super) ages: WordAges,
+    /// How old its data is.
+    pub(super) ages: TopicAges,
     /// Whether a whole directory is wanted where changes do not reach back far enough.
     pub(super) wants_whole_directory: bool,
     /// The answer may wait this long for news.
     pub(super) wait_millis: u32,
 }
 
-/// What is newer, and how old the word is.
+/// What is newer, and how old the data is.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct FeedReply {
     /// A newer configuration.
     pub(super) configuration: Option<Configuration>,
-    /// What the asking daemon's directory lacks.
+    /// What the polling daemon's directory lacks.
     pub(super) directory: Option<DirectoryDelta>,
     /// The zones that are being emptied, as the answering daemon holds them.
     pub(super) evacuated: Option<EvacuatedZones>,
-    /// All orders to roll out, if the asking daemon lacks a change of them.
+    /// All orders to roll out, if the polling daemon lacks a change of them.
     pub(super) roll_outs: Option<RollOuts>,
     /// Orders to roll out that the answering daemon holds.
     pub(super) roll_outs_held: Option<RollOutsMark>,
@@ -123,9 +123,9 @@
     pub(super) version: Option<u64>,
     /// Revision held by the answering daemon.
     pub(super) revision: Option<Revision>,
-    /// How old the answering daemon's word is.
-    pub(super) ages: WordAges,
-    /// How long the answering daemon let the request wait, in milliseconds.
+    /// How old the answering daemon's data is.
+    pub(super) ages: TopicAges,
+    /// How long the answering daemon waited for news, in milliseconds.
     pub(super) waited_millis: u32,
 }
 
@@ -136,19 +136,19 @@
         .new_codec()
 }
 
-/// Bytes of a message.
+/// Encodes a message.
 pub(super) fn encode<T: Serialize>(message: &T, peer: &str) -> Result<Bytes, StepError> {
     let encoded = postcard::to_stdvec(message);
     let bytes = encoded.map_err(|cause| StepError::new("encode feed message", peer, cause))?;
     Ok(Bytes::from(bytes))
 }
 
-/// The message in these bytes.
+/// Decodes a message.
 pub(super) fn decode<T: DeserializeOwned>(bytes: &[u8], peer: &str) -> Result<T, StepError> {
     postcard::from_bytes(bytes).map_err(|cause| StepError::new("decode feed message", peer, cause))
 }
 
-/// Milliseconds of an age, for a message.
-pub(super) fn millis(age: Duration) -> u32 {
-    u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
+/// Whole milliseconds of a duration, as messages carry it.
+pub(super) fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/tansylead-gateway/src/cluster/feed_server.rs
+++ b/crates/tansylead-gateway/src/cluster/feed_server.rs
@@ -1,6 +1,6 @@
 //! Answers other daemons' long polls.
 
-use super::feed_message::{FeedReply, FeedRequest, WordAges, encode, millis};
+use super::feed_message::{FeedReply, FeedRequest, TopicAges, encode, millis};
 use crate::clock::Clock;
 use crate::state::Gateway;
 use std::time::Duration;
@@ -9,30 +9,32 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio_util::bytes::Bytes;
 
-/// Configurations on their way to peers at a time. All at once they would fill the link of a small
+/// Configurations that are sent to peers at the same time. Sending all at once would fill the link of a small
 /// machine, and requests to leafs would wait behind them.
-const CONFIGURATIONS_AT_A_TIME: usize = 2;
-/// A reply of so many bytes is logged: more than the changes of some leafs.
+const CONCURRENT_CONFIGURATIONS: usize = 2;
+/// A reply of at least this size is logged: it is more than the changes of a few leafs.
 const LARGE_REPLY_BYTES: usize = 4 * 1024;
-/// A directory of no more entries is sent whole to whoever lacks it: it takes no more than a configuration.
+/// A directory of at most this many entries is sent whole to any daemon that lacks it: it is no larger than a
+/// configuration.
 const SMALL_DIRECTORY: usize = 500;
-/// Longest wait that a request may ask for.
+/// Longest wait for news that a request may ask for.
 const LONGEST_WAIT: Duration = Duration::from_secs(5);
 
-/// Whose turn it is to send configurations.
+/// Permits to send configurations.
 #[derive(Debug)]
-pub(super) struct FeedTurns(Semaphore);
+pub(super) struct SendPermits(Semaphore);
 
-impl Default for FeedTurns {
+impl Default for SendPermits {
     fn default() -> Self {
-        Self(Semaphore::new(CONFIGURATIONS_AT_A_TIME))
+        Self(Semaphore::new(CONCURRENT_CONFIGURATIONS))
     }
 }
 
-/// The bytes of the reply to a poll, and the turn to send them, which lasts until it is dropped.
+/// The bytes of the reply to a poll; with a configuration also the permit to send them, to be held until they are
+/// sent.
 pub(super) async fn answer_poll<'a>(
     gateway: &Gateway,
-    turns: &'a FeedTurns,
+    permits: &'a SendPermits,
     request: &FeedRequest,
     peer: &str,
 ) -> Result<(Bytes, Option<SemaphorePermit<'a>>), StepError> {
@@ -40,17 +42,17 @@
         return Err(StepError::new("serve feed", peer, "another cluster"));
     }
     let reply = answer(gateway, request).await;
-    let turn = match reply.configuration {
-        Some(_) => turns.0.acquire().await.ok(),
+    let permit = match reply.configuration {
+        Some(_) => permits.0.acquire().await.ok(),
         None => None,
     };
     let bytes = encode(&reply, peer)?;
-    note_large_reply(peer, &reply, bytes.len());
-    Ok((bytes, turn))
+    log_large_reply(peer, &reply, bytes.len());
+    Ok((bytes, permit))
 }
 
-/// Whole states fill the links of small machines: who sent them to whom explains late requests.
-fn note_large_reply(peer: &str, reply: &FeedReply, bytes: usize) {
+/// Logs large replies. Full states fill the links of small machines: the log shows why requests were late.
+fn log_large_reply(peer: &str, reply: &FeedReply, bytes: usize) {
     if bytes < LARGE_REPLY_BYTES {
         return;
     }
@@ -59,8 +61,8 @@
     log::info!(peer = peer, bytes = bytes, configuration = brings_configuration, whole_directory = brings_directory; "large feed reply");
 }
 
-/// Answers at once if there is news, or a word that is fresher than the asking daemon's; that may
-/// have come while its request was on the way. Otherwise the next change is waited for.
+/// Answers at once if there is news, or if the data of this daemon is fresher than that of the polling one, which
+/// can happen while the request is in flight. Otherwise waits for the next change.
 async fn answer(gateway: &Gateway, request: &FeedRequest) -> FeedReply {
     let arrived = Clock.now();
     let wait = Duration::from_millis(request.wait_millis.into()).min(LONGEST_WAIT);
@@ -80,11 +82,11 @@
 
 fn has_news_of_evacuations(reply: &FeedReply, request: &FeedRequest) -> bool {
     let held = request.evacuated.as_ref();
-    let told = reply.evacuated.as_ref();
-    told.is_some_and(|told| told.is_update_for(held))
+    let offered = reply.evacuated.as_ref();
+    offered.is_some_and(|offered| offered.is_update_for(held))
 }
 
-/// Also if the orders have not changed, but are known as far as the asking daemon needs them.
+/// Also true if the orders have not changed, but are known up to the revision that the polling daemon needs.
 fn has_news_of_roll_outs(reply: &FeedReply, request: &FeedRequest) -> bool {
     let at = reply.roll_outs_held.map(|held| held.at);
     let needed = request.roll_outs_needed_up_to;
@@ -112,7 +114,7 @@
         evacuated: gateway.evacuated(),
         roll_outs: roll_outs.filter(|held| held.is_update_for(request.roll_outs)),
         roll_outs_held,
-        ages: WordAges::of(gateway),
+        ages: TopicAges::of(gateway),
         waited_millis: millis(waited),
     }
 }
--- a/crates/tansylead-gateway/src/cluster/forwarded_query.rs
+++ b/crates/tansylead-gateway/src/cluster/forwarded_query.rs
@@ -1,4 +1,4 @@
-//! A query over shards that one daemon hands to another, and what comes back: one message each way.
+//! A query over shards that one daemon forwards to another, and the reply: one message each way.
 
 use crate::execution::{Outcome, Refusal, RefusalReason};
 use crate::leaf::OutgoingRequest;
@@ -22,8 +22,8 @@
 pub struct ForwardedQuery {
     /// Name of the deployment; queries of others are not run.
     pub cluster: String,
-    /// Version of the configuration that the route is of. The root runs the query only if it holds
-    /// the same: a request must not be handled by another version than the daemon that took it.
+    /// Version of the configuration that contains the route. The root runs the query only if it holds the
+    /// same one: a request must not be handled under another version than that of the daemon that accepted it.
     pub version: u64,
     /// Host of the route.
     pub host: String,
@@ -32,13 +32,13 @@
     headers: Vec<ForwardedHeader>,
     body: Vec<u8>,
     id: Option<Vec<u8>>,
-    held_micros: u64,
+    elapsed_micros: u64,
     time_left_micros: u64,
-    /// What the query is recognized by when it comes again; the root does not see its caller.
+    /// Fingerprints that identify repetitions of the query; the root does not see its caller.
     fingerprints: RequestFingerprints,
 }
 
-/// What a root says of a query.
+/// Reply of a root to a query.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ForwardedReply {
     /// The merged answer.
@@ -52,9 +52,9 @@
     },
     /// No answer.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When the caller should come back, in microseconds.
+        /// When the caller should retry, in microseconds.
         retry_after_micros: Option<u64>,
     },
     /// The root does not run it: it holds another version, or is stopping. Nothing has run.
@@ -64,13 +64,13 @@
 }
 
 impl ForwardedQuery {
-    /// The query of a caller that has been held for `held` and waits for `time_left` in all.
+    /// A query that arrived `elapsed` ago from a caller that waits for `time_left` in total.
     pub fn new(
         cluster: &str,
         version: u64,
         host: &str,
         request: &OutgoingRequest,
-        held: Duration,
+        elapsed: Duration,
         time_left: Duration,
     ) -> Self {
         let headers = request.headers.iter().map(|(name, value)| ForwardedHeader {
@@ -86,24 +86,24 @@
             headers: headers.collect(),
             body: request.body.to_vec(),
             id: request.id.as_ref().map(|id| id.as_bytes().to_vec()),
-            held_micros: micros(held),
+            elapsed_micros: micros(elapsed),
             time_left_micros: micros(time_left),
             fingerprints: request.fingerprints,
         }
     }
 
-    /// Path of the query, without what follows a question mark.
+    /// Path of the query, without the part after a question mark.
     pub fn path(&self) -> &str {
         let target = self.target.as_str();
         target.split_once('?').map_or(target, |(path, _)| path)
     }
 
-    /// How long the query had been held when it was sent.
-    pub fn held(&self) -> Duration {
-        Duration::from_micros(self.held_micros)
+    /// Time from the arrival of the query at the first daemon until it was forwarded.
+    pub fn elapsed(&self) -> Duration {
+        Duration::from_micros(self.elapsed_micros)
     }
 
-    /// How long its caller waits in all, from its arrival at the first daemon.
+    /// How long its caller waits in total, from its arrival at the first daemon.
     pub fn time_left(&self) -> Duration {
         Duration::from_micros(self.time_left_micros)
     }
@@ -138,7 +138,7 @@
 }
 
 impl ForwardedReply {
-    /// What to send back of an outcome at the root.
+    /// The reply for an outcome at the root.
     pub fn new(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Merged {
@@ -157,7 +157,7 @@
                 reason: refusal.reason,
                 retry_after_micros: refusal.retry_after.map(micros),
             },
-            // Queries over shards have no single leaf's answer.
+            // Queries over shards never end with the answer of a single leaf.
             Outcome::Leaf { .. } => Self::Refused {
                 reason: RefusalReason::Failed,
                 retry_after_micros: None,
@@ -182,7 +182,7 @@
                         missing: missing as usize,
                         body,
                     },
-                    // A root sends what it read from headers; anything else is no answer.
+                    // A root sends only valid header values; anything else is not a usable answer.
                     Err(_) => Outcome::Refused(Refusal::new(RefusalReason::Failed)),
                 };
                 Some(outcome)
--- a/crates/tansylead-gateway/src/cluster/members.rs
+++ b/crates/tansylead-gateway/src/cluster/members.rs
@@ -1,6 +1,6 @@
 //! Drives the membership state machine over UDP.
 
-use super::publish_pace::PublishPace;
+use super::publish_throttle::PublishThrottle;
 use super::report_codec::ReportCodec;
 use super::roll_out_codec::RollOutCodec;
 use super::view::ClusterView;
@@ -22,13 +22,13 @@
 use tansylead_types::{InstanceId, NodeId, PlaceName, StepError};
 use tokio::net::UdpSocket;
 
-/// The task looks at its state at least this often.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// The task checks its state at least this often.
+const MAXIMUM_WAIT: Duration = Duration::from_secs(1);
 
-/// Daemons that are told of a request under which leafs end by the one that found it: all of a small fleet. In a
-/// larger one each of them passes it on to some others, which reaches all but about 2 in 100; digests do the rest.
+/// Daemons to which the daemon that finds a request under which leafs end sends it: all of a small fleet. In a
+/// larger one each of them relays it to some others, which reaches all but about 2 in 100; digests reach the rest.
 const QUARANTINE_PEERS: usize = 32;
-/// Daemons that each daemon passes it on to.
+/// Daemons to which each daemon relays it.
 const QUARANTINE_RELAYS: usize = 4;
 
 /// Owns the UDP socket and the membership.
@@ -44,7 +44,7 @@
     roll_outs: Rc<RollOutLink>,
     local: LocalMember,
     membership: Membership,
-    pace: PublishPace,
+    throttle: PublishThrottle,
 }
 
 impl MemberDriver {
@@ -87,7 +87,7 @@
             roll_outs,
             local,
             membership,
-            pace: PublishPace::default(),
+            throttle: PublishThrottle::default(),
         })
     }
 
@@ -97,18 +97,18 @@
         let gateway = Rc::clone(&self.gateway);
         let roll_outs = Rc::clone(&self.roll_outs);
         let mut stop = gateway.stop_phases();
-        let mut leaving = false;
-        self.feed(MembershipEvent::Wakeup);
+        let mut is_leaving = false;
+        self.handle(MembershipEvent::Wakeup);
         if self.membership.is_joined() {
-            // There is nobody to join: no event will tell of that.
+            // There is no peer to join, and no event will report that.
             self.publish();
         }
         loop {
-            self.take_hints();
+            self.pass_new_registered();
             let now = Clock.now();
-            let wakeup = self.membership.next_wakeup().unwrap_or(now + LONGEST_WAIT);
-            let wakeup = wakeup.min(now + LONGEST_WAIT);
-            let wakeup = self.pace.due().map_or(wakeup, |due| wakeup.min(due));
+            let wakeup = self.membership.next_wakeup().unwrap_or(now + MAXIMUM_WAIT);
+            let wakeup = wakeup.min(now + MAXIMUM_WAIT);
+            let wakeup = self.throttle.due().map_or(wakeup, |due| wakeup.min(due));
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => {
                     if let Ok((length, from)) = received {
@@ -119,19 +119,19 @@
                 () = roll_outs.to_send() => self.send_roll_out_messages(),
                 () = gateway.quarantine.to_send() => self.send_quarantine(),
                 () = Clock.sleep_until(wakeup) => {
-                    self.feed(MembershipEvent::Wakeup);
+                    self.handle(MembershipEvent::Wakeup);
                 }
-                _ = stop.wait_for(|phase| *phase >= StopPhase::Draining), if !leaving => {
-                    leaving = true;
-                    self.feed(MembershipEvent::Leave);
+                _ = stop.wait_for(|phase| *phase >= StopPhase::Draining), if !is_leaving => {
+                    is_leaving = true;
+                    self.handle(MembershipEvent::Leave);
                 }
             }
         }
     }
 
-    /// Tells membership of registered daemons to join through.
-    fn take_hints(&mut self) {
-        let Some(addresses) = self.view.take_hints() else {
+    /// Passes newly registered daemons to membership, to join through.
+    fn pass_new_registered(&mut self) {
+        let Some(addresses) = self.view.take_new_registered() else {
             return;
         };
         let machines = addresses.into_iter().map(|address| Machine {
@@ -141,21 +141,21 @@
         let list = MachineList {
             machines: machines.collect(),
         };
-        self.feed(MembershipEvent::MachineList(list));
+        self.handle(MembershipEvent::MachineList(list));
     }
 
-    /// Tells daemons of the own region the reports on leafs.
+    /// Sends the reports on leafs to daemons of the own region.
     fn send_reports(&self) {
         let datagrams = self.report_codec.encode(&self.gateway.reports.take());
         for peer in self.view.report_peers() {
             for datagram in &datagrams {
-                // A datagram that cannot be sent now is as good as lost on the way.
+                // A datagram that cannot be sent now counts as lost.
                 let _ = self.socket.try_send_to(datagram, peer);
             }
         }
     }
 
-    /// Sends reports to judges of roll-outs, and their answers; those to one peer go together.
+    /// Sends reports to judges of roll-outs, and the answers of judges; messages to one peer share datagrams.
     fn send_roll_out_messages(&self) {
         let mut by_peer: BTreeMap<NodeId, Vec<RollOutMessage>> = BTreeMap::new();
         for (peer, message) in self.roll_outs.take_to_send() {
@@ -167,13 +167,13 @@
                 log::warn!(peer:% = peer, messages = encoded.left_out; "messages of roll-outs fit into no datagram");
             }
             for datagram in encoded.datagrams {
-                // A datagram that cannot be sent now is as good as lost on the way.
+                // A datagram that cannot be sent now counts as lost.
                 let _ = self.socket.try_send_to(&datagram, peer.0);
             }
         }
     }
 
-    /// Tells other daemons of requests under which leafs end.
+    /// Informs other daemons about requests under which leafs end.
     fn send_quarantine(&self) {
         let ToSend {
             wide,
@@ -184,7 +184,7 @@
         for peer in self.view.near_peers(zone, QUARANTINE_PEERS) {
             self.send_quarantine_to(peer, &wide);
         }
-        // In a fleet in which one daemon tells all, nothing needs to be passed on.
+        // In a small fleet the first sender reaches all, so that nothing needs to be relayed.
         if self.view.member_nodes().len() > QUARANTINE_PEERS {
             for peer in self.view.random_peers(QUARANTINE_RELAYS) {
                 self.send_quarantine_to(peer, &relayed);
@@ -197,7 +197,7 @@
 
     fn send_quarantine_to(&self, peer: SocketAddr, messages: &[QuarantineMessage]) {
         for datagram in self.quarantine_codec.encode(messages) {
-            // A datagram that cannot be sent now is as good as lost on the way.
+            // A datagram that cannot be sent now counts as lost.
             let _ = self.socket.try_send_to(&datagram, peer);
         }
     }
@@ -214,49 +214,49 @@
         }
         if let Ok(packet) = self.codec.decode(bytes) {
             let packet = Box::new(packet);
-            self.feed(MembershipEvent::Packet { from, packet });
+            self.handle(MembershipEvent::Packet { from, packet });
         }
     }
 
-    fn feed(&mut self, event: MembershipEvent) {
+    fn handle(&mut self, event: MembershipEvent) {
         let actions = self.membership.on_event(Clock.now(), event);
         let mut replaced = None;
         for action in actions {
             match action {
                 MembershipAction::Send { to, packet } => {
                     if let Ok(bytes) = self.codec.encode(&packet) {
-                        // A datagram that cannot be sent now is as good as lost on the way.
+                        // A datagram that cannot be sent now counts as lost.
                         let _ = self.socket.try_send_to(&bytes, to.0);
                     }
                 }
                 MembershipAction::Changed(record) => {
                     log::info!(peer:% = record.node(), state:? = record.state; "member changed");
-                    self.pace.on_change();
+                    self.throttle.on_change();
                 }
-                MembershipAction::Forgotten(_) => self.pace.on_change(),
-                MembershipAction::Joined => self.pace.on_joined(),
+                MembershipAction::Forgotten(_) => self.throttle.on_change(),
+                MembershipAction::Joined => self.throttle.on_joined(),
                 MembershipAction::Replaced { by } => replaced = Some(by),
                 _ => {}
             }
         }
         if let Some(by) = replaced {
-            self.succeed(by);
+            self.restart_after(by);
         }
-        if self.pace.due().is_some_and(|due| due <= Clock.now()) {
+        if self.throttle.due().is_some_and(|due| due <= Clock.now()) {
             self.publish();
         }
     }
 
-    /// An earlier run of this daemon had a later wall clock: begin anew after it.
-    fn succeed(&mut self, by: InstanceId) {
-        log::warn!(boot = by.boot; "own address was held by a later run; starting membership anew");
+    /// Restarts membership with a later boot number than an earlier run of this daemon whose wall clock was ahead.
+    fn restart_after(&mut self, by: InstanceId) {
+        log::warn!(boot = by.boot; "own address is held by a run with a later boot number; restarting membership");
         self.local.instance.boot = by.boot + 1;
         self.view.set_boot(self.local.instance.boot);
         self.membership = new_membership(&self.local, &self.gateway.settings.seeds);
-        self.feed(MembershipEvent::Wakeup);
+        self.handle(MembershipEvent::Wakeup);
     }
 
-    /// Counts the daemons that run, or may.
+    /// Counts the daemons that are running, or may be.
     fn count_daemons(&self) -> DaemonCounts {
         let members = self.membership.members();
         let counted: Vec<&MemberRecord> = members
@@ -272,7 +272,7 @@
 
     fn publish(&mut self) {
         let members = self.membership.members().count();
-        self.pace.on_published(Clock.now(), members);
+        self.throttle.on_published(Clock.now(), members);
         self.gateway.set_daemons(self.count_daemons());
         let live: Vec<MemberRecord> = self.membership.live_members().cloned().collect();
         let own = &self.local;
--- a/crates/tansylead-gateway/src/cluster/peer_server.rs
+++ b/crates/tansylead-gateway/src/cluster/peer_server.rs
@@ -1,7 +1,7 @@
-//! Serves other daemons: long polls for news, and queries over shards that they hand on.
+//! Serves other daemons: long polls for news, and queries over shards that they forward.
 
 use super::feed_message::{FeedRequest, decode, encode, framing};
-use super::feed_server::{FeedTurns, answer_poll};
+use super::feed_server::{SendPermits, answer_poll};
 use super::forwarded_query::{ForwardedQuery, ForwardedReply};
 use super::query_server::run_forwarded;
 use crate::listener::{accept_each, bind};
@@ -19,9 +19,9 @@
 
 /// A connection without a request for this long is closed.
 const IDLE_LIMIT: Duration = Duration::from_secs(10);
-/// A connection that rested longer is not used for another request: its server may be about to close it.
+/// A connection that was idle for longer is not used for another request: its server may be about to close it.
 pub(super) const REUSE_LIMIT: Duration = Duration::from_secs(5);
-/// Longest time for one reply to be taken by its peer.
+/// Time in which a peer must accept one reply.
 const SEND_LIMIT: Duration = Duration::from_millis(800);
 
 /// Frames on a connection between daemons.
@@ -30,22 +30,22 @@
 /// What a daemon asks another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) enum PeerRequest {
-    /// What builds send whose positions in the source know no eras: it is refused, since their numbers and ours
-    /// cannot be compared. Those builds know no later entry of this list, and refuse a poll in turn.
+    /// Poll of older builds, whose revisions have no era. It is refused, since their revisions cannot be compared
+    /// with ours. Those builds do not know the later variants, and refuse polls of this build in turn.
     PollWithoutEra,
-    /// To run a query over shards.
+    /// Asks to run a query over shards.
     Query(Box<ForwardedQuery>),
-    /// For news of configuration, leafs and evacuations.
+    /// Asks for news of configuration, leafs, evacuations and roll-outs.
     Feed(FeedRequest),
 }
 
-/// A connection to another daemon that is silent this long ends. Connections at rest are asked by the system
-/// after half of it, which costs little: there are few.
+/// A connection to another daemon that is silent for this long ends. On idle connections the system sends
+/// keepalive probes after half of it, which costs little: there are few connections.
 const PEER_SILENCE: Duration = Duration::from_secs(2);
 
-/// Frames over a connection that was just made or accepted.
+/// Frames over a connection that was just opened or accepted.
 pub(super) fn frames(stream: TcpStream) -> Frames {
-    // An option that cannot be set only makes answers slower.
+    // Without this option answers are only slower.
     let _ = stream.set_nodelay(true);
     end_after_silence(&stream, PEER_SILENCE);
     Framed::new(stream, framing())
@@ -55,13 +55,13 @@
 pub async fn serve_peers(gateway: Rc<Gateway>) -> Result<(), StepError> {
     let address = gateway.settings.peer_address;
     let listener = bind(address, "listen for peers").await?;
-    let turns = Rc::new(FeedTurns::default());
+    let permits = Rc::new(SendPermits::default());
     accept_each(listener, |stream, peer| {
         let gateway = Rc::clone(&gateway);
-        let turns = Rc::clone(&turns);
+        let permits = Rc::clone(&permits);
         spawn_local(async move {
-            // A peer that goes away comes back by itself.
-            let _ = serve(gateway, &turns, stream, &peer.to_string()).await;
+            // A peer whose connection fails opens a new one.
+            let _ = serve(gateway, &permits, stream, &peer.to_string()).await;
         });
     })
     .await;
@@ -70,7 +70,7 @@
 
 async fn serve(
     gateway: Rc<Gateway>,
-    turns: &FeedTurns,
+    permits: &SendPermits,
     stream: TcpStream,
     peer: &str,
 ) -> Result<(), StepError> {
@@ -86,7 +86,7 @@
                 ));
             }
             PeerRequest::Feed(request) => {
-                let (reply, _turn) = answer_poll(&gateway, turns, &request, peer).await?;
+                let (reply, _permit) = answer_poll(&gateway, permits, &request, peer).await?;
                 send(&mut frames, reply, peer).await?;
             }
             PeerRequest::Query(query) => {
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// Runs a query until it has ended or the asking daemon has gone, which ends its attempts.
+/// Runs a query until it ends or the forwarding daemon disconnects, which ends its attempts.
 async fn run_while_connected(
     gateway: &Rc<Gateway>,
     frames: &mut Frames,
@@ -107,13 +107,13 @@
 ) -> Result<ForwardedReply, StepError> {
     tokio::select! {
         reply = run_forwarded(gateway, query, peer) => reply,
-        // The asking daemon sends nothing before it has its reply.
-        _ = frames.next() => Err(StepError::new("run forwarded query", peer, "its daemon has gone")),
+        // The forwarding daemon sends nothing before it has its reply.
+        _ = frames.next() => Err(StepError::new("run forwarded query", peer, "its daemon has disconnected")),
     }
 }
 
 async fn send(frames: &mut Frames, bytes: Bytes, peer: &str) -> Result<(), StepError> {
-    // A peer that takes nothing must not keep others from their turn.
+    // A peer that accepts no data must not keep the permit from others.
     let sent = tokio::time::timeout(SEND_LIMIT, frames.send(bytes)).await;
     let sent = sent.map_err(|cause| StepError::new("send reply to peer", peer, cause))?;
     sent.map_err(|cause| StepError::new("send reply to peer", peer, cause))
--- a/crates/tansylead-gateway/src/cluster/query_roots.rs
+++ b/crates/tansylead-gateway/src/cluster/query_roots.rs
@@ -1,4 +1,4 @@
-//! The roots of the own region as this daemon knows them: connections, and whether they answer.
+//! The roots of the own region as this daemon sees them: connections, and whether they answer.
 
 use super::feed_message::{decode, encode};
 use super::forwarded_query::{ForwardedQuery, ForwardedReply};
@@ -18,24 +18,24 @@
 use tansylead_types::{InstanceId, Moment, NodeId, PlaceName, StepError, ZoneName};
 use tokio::net::TcpStream;
 
-/// A root that is too busy gets no more queries from this daemon for so long: about as long as it takes those
-/// that it runs to end.
-const BUSY_REST: Duration = Duration::from_millis(500);
+/// A root that is too busy gets no more queries from this daemon for this long: about the time in which the
+/// queries that it runs end.
+const BUSY_PAUSE: Duration = Duration::from_millis(500);
 
 /// Why a root gave no reply.
 #[derive(Debug)]
-pub enum AskError {
-    /// The query was not sent whole, so the root has not run it.
+pub enum ForwardError {
+    /// The query was not sent completely, so the root has not run it.
     NotSent(StepError),
     /// The root may have run it.
     MaybeRun(StepError),
 }
 
-/// A connection at rest.
+/// An idle connection.
 #[derive(Debug)]
 struct IdleConnection {
     frames: Frames,
-    rests_since: Moment,
+    idle_since: Moment,
 }
 
 /// One run of a daemon that is a root.
@@ -46,14 +46,14 @@
     idle: RefCell<Vec<IdleConnection>>,
     breaker: RefCell<Breaker>,
     answered_at: Cell<Moment>,
-    /// It has declined a query because it is too busy, and is not asked until then.
-    rests_until: Cell<Moment>,
+    /// It has declined a query because it was too busy, and gets none until then.
+    busy_until: Cell<Moment>,
 }
 
 /// The roots of the own region.
 #[derive(Debug, Default)]
 pub struct QueryRoots {
-    /// Roots other than this daemon; none if this daemon runs its queries itself.
+    /// Roots other than this daemon; empty if this daemon runs its queries itself.
     peers: RefCell<Vec<Rc<RootPeer>>>,
 }
 
@@ -87,7 +87,7 @@
                 self.set_roots(roots, own);
             }
         }
-        counted.seen_by(own, region)
+        counted.into_query_runners(own, region)
     }
 
     fn set_roots(&self, roots: Vec<&MemberRecord>, own: NodeId) {
@@ -104,14 +104,14 @@
         }
     }
 
-    /// A root that is expected to answer, of the own zone if there is one; none if there is none, or
-    /// this daemon runs queries itself.
+    /// A random root that is expected to answer, of the own zone if there is one; none if there is no such root,
+    /// or this daemon runs its queries itself.
     pub fn choose(&self, now: Moment, own_zone: &ZoneName) -> Option<Rc<RootPeer>> {
         let peers = self.peers.borrow();
         let usable: Vec<&Rc<RootPeer>> = peers
             .iter()
             .filter(|root| root.breaker.borrow().verdict(now) != BreakerVerdict::Avoid)
-            .filter(|root| root.rests_until.get() <= now)
+            .filter(|root| root.busy_until.get() <= now)
             .collect();
         let near: Vec<&Rc<RootPeer>> = usable
             .iter()
@@ -124,22 +124,22 @@
             .map(|root| Rc::clone(root))
     }
 
-    /// Closes all connections at rest.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         for root in self.peers.borrow().iter() {
             root.idle.borrow_mut().clear();
         }
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self, now: Moment) {
         for root in self.peers.borrow().iter() {
             let mut idle = root.idle.borrow_mut();
-            idle.retain(|idle| now.since(idle.rests_since) < REUSE_LIMIT);
+            idle.retain(|idle| now.since(idle.idle_since) < REUSE_LIMIT);
         }
     }
 
-    /// What is known of a root, or a root of which nothing is known yet.
+    /// The known state of a root, or a new one if nothing is known yet.
     fn peer(&self, member: &MemberRecord) -> Rc<RootPeer> {
         let peers = self.peers.borrow();
         let known = peers.iter().find(|peer| peer.instance == member.instance);
@@ -147,7 +147,7 @@
     }
 }
 
-/// The daemons that run queries, and the others, with the places they run in.
+/// The daemons that run queries, and the others, each with its place.
 #[derive(Debug, Default)]
 struct RunnerCounts<'a> {
     runners: Vec<(&'a PlaceName, NodeId)>,
@@ -161,8 +161,8 @@
         self.others.extend(others.into_iter().map(placed));
     }
 
-    /// The counts as `own` sees them: it is ranked among those of its region.
-    fn seen_by(self, own: NodeId, region: &PlaceName) -> QueryRunners {
+    /// The counts for the daemon `own`, with its rank among those of its region.
+    fn into_query_runners(self, own: NodeId, region: &PlaceName) -> QueryRunners {
         let counts = |daemons: &[(&PlaceName, NodeId)]| {
             let before = daemons
                 .iter()
@@ -186,7 +186,7 @@
             idle: RefCell::default(),
             breaker: RefCell::default(),
             answered_at: Cell::default(),
-            rests_until: Cell::default(),
+            busy_until: Cell::default(),
         }
     }
 
@@ -195,42 +195,44 @@
         self.instance.node.0
     }
 
-    /// Asks the root to run a query. Dropping the future ends the query there.
-    pub async fn ask(
+    /// Forwards a query to the root. Dropping the future ends the query there.
+    pub async fn forward(
         &self,
         query: ForwardedQuery,
         connect_limit: Duration,
-    ) -> Result<ForwardedReply, AskError> {
+    ) -> Result<ForwardedReply, ForwardError> {
         let peer = self.address().to_string();
         let bytes =
-            encode(&PeerRequest::Query(Box::new(query)), &peer).map_err(AskError::NotSent)?;
+            encode(&PeerRequest::Query(Box::new(query)), &peer).map_err(ForwardError::NotSent)?;
         let mut frames = self
             .connect(connect_limit)
             .await
-            .map_err(AskError::NotSent)?;
+            .map_err(ForwardError::NotSent)?;
         let _open = OpenQuery::begin(self);
         let sent = frames.send(bytes).await;
-        // A root reads only whole messages, and this one was not written whole.
-        sent.map_err(|cause| AskError::NotSent(StepError::new("ask root", &peer, cause)))?;
+        // A root processes only complete messages, and this one was not written completely.
+        sent.map_err(|cause| {
+            ForwardError::NotSent(StepError::new("forward query to root", &peer, cause))
+        })?;
         let reply = match frames.next().await {
-            Some(Ok(frame)) => decode(&frame, &peer).map_err(AskError::MaybeRun)?,
+            Some(Ok(frame)) => decode(&frame, &peer).map_err(ForwardError::MaybeRun)?,
             Some(Err(cause)) => {
                 let error = StepError::new("read root's reply", &peer, cause);
-                return Err(AskError::MaybeRun(error));
+                return Err(ForwardError::MaybeRun(error));
             }
             None => {
                 let error = StepError::new("read root's reply", &peer, "closed");
-                return Err(AskError::MaybeRun(error));
+                return Err(ForwardError::MaybeRun(error));
             }
         };
         self.idle.borrow_mut().push(IdleConnection {
             frames,
-            rests_since: Clock.now(),
+            idle_since: Clock.now(),
         });
         Ok(reply)
     }
 
-    /// Notes a reply to a query sent at `sent`; `timely` if it came within its objective.
+    /// Records a reply to a query sent at `sent`; `timely` if it came within its objective.
     pub fn on_answer(&self, sent: Moment, timely: bool) {
         let now = Clock.now();
         self.answered_at.set(now);
@@ -239,18 +241,18 @@
         }
     }
 
-    /// Notes that the root is too busy to run a query.
+    /// Records that the root is too busy to run a query.
     pub fn on_busy(&self) {
-        self.rests_until.set(Clock.now() + BUSY_REST);
+        self.busy_until.set(Clock.now() + BUSY_PAUSE);
     }
 
-    /// Notes that a reply to a query sent at `sent` is late. Nothing is held against a root that has
-    /// answered others since: it waits for leafs.
+    /// Records that a reply to a query sent at `sent` is late. This does not count against a root that has
+    /// answered other queries since: it waits for leafs.
     pub fn on_overdue(&self, sent: Moment, delay: Duration) {
         if !self.is_silent_since(sent) {
             return;
         }
-        // Perhaps only its connections are silent: the next query opens a new one.
+        // Perhaps only its connections have failed silently: the next query opens a new one.
         self.idle.borrow_mut().clear();
         let opened = self
             .breaker
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Notes that the root could not be reached, or closed a connection.
+    /// Records that the root could not be reached, or closed a connection.
     pub fn on_unreachable(&self, delay: Duration) {
         self.idle.borrow_mut().clear();
         if self.breaker.borrow_mut().on_unreachable(Clock.now(), delay) {
@@ -292,12 +294,12 @@
     fn take_idle(&self) -> Option<Frames> {
         let now = Clock.now();
         let mut idle = self.idle.borrow_mut();
-        let is_fresh = |idle: &mut IdleConnection| now.since(idle.rests_since) < REUSE_LIMIT;
+        let is_fresh = |idle: &mut IdleConnection| now.since(idle.idle_since) < REUSE_LIMIT;
         idle.pop_if(is_fresh).map(|idle| idle.frames)
     }
 }
 
-/// One query at a root; ends when dropped, also if its caller leaves.
+/// One query at a root; ends when dropped, also if its caller disconnects.
 struct OpenQuery<'a> {
     root: &'a RootPeer,
     sent: Moment,
@@ -317,7 +319,7 @@
     }
 }
 
-/// Whether a connection at rest is still open, as far as is known: its root sends nothing unasked.
+/// Whether an idle connection is still open, as far as is known: its root sends nothing unrequested.
 fn is_open(frames: &Frames) -> bool {
     let mut byte = [0];
     let read = frames.get_ref().try_read(&mut byte);
--- a/crates/tansylead-gateway/src/cluster/query_server.rs
+++ b/crates/tansylead-gateway/src/cluster/query_server.rs
@@ -1,4 +1,4 @@
-//! Runs queries over shards that other daemons hand on to this one.
+//! Runs queries over shards that other daemons forward to this one.
 
 use super::forwarded_query::{ForwardedQuery, ForwardedReply};
 use crate::clock::Clock;
@@ -12,9 +12,9 @@
 use tansylead_route::{Route, ShardSet, Target, is_too_busy};
 use tansylead_types::StepError;
 
-/// Time kept for the merged answer's way back through the daemon that forwarded the query: a few
-/// milliseconds of a small machine and a way between zones (users' sites: up to 1.4 ms).
-const WAY_BACK: Duration = Duration::from_millis(6);
+/// Time reserved for the merged answer to return through the daemon that forwarded the query: a few
+/// milliseconds on a small machine and a one-way delay between zones (up to 1.4 ms at users' sites).
+const RETURN_TIME: Duration = Duration::from_millis(6);
 
 /// Runs a query for another daemon. Dropping the future ends its attempts.
 pub(super) async fn run_forwarded(
@@ -38,7 +38,7 @@
     run(gateway, &route, set, query, peer).await
 }
 
-/// The route of a query that this daemon may run: of the same version, repeatable, over shards.
+/// The route of a query if this daemon may run it: the same version, repeatable, over shards.
 fn find_route(gateway: &Gateway, query: &ForwardedQuery) -> Option<Arc<Route>> {
     let active = gateway.active()?;
     let may_run = query.cluster == gateway.settings.cluster
@@ -58,7 +58,7 @@
     query: ForwardedQuery,
     peer: &str,
 ) -> Result<ForwardedReply, StepError> {
-    let arrived = Clock.now() - query.held() - WAY_BACK;
+    let arrived = Clock.now() - query.elapsed() - RETURN_TIME;
     let time_left = query.time_left();
     let version = query.version;
     let request = Rc::new(query.into_request()?);
--- a/crates/tansylead-gateway/src/cluster/roll_out_codec.rs
+++ b/crates/tansylead-gateway/src/cluster/roll_out_codec.rs
@@ -4,7 +4,7 @@
 use crate::roll_out::RollOutMessage;
 use tansylead_route::{RollOutReport, RouteEvidence, VersionCounts};
 
-/// Bytes of the kind of a message and of the number of its routes, at most.
+/// Maximum encoded size of the kind of a message and of the number of its routes.
 const ENVELOPE_BYTES: usize = 4;
 
 impl DatagramMessage for RollOutMessage {
@@ -18,19 +18,19 @@
 /// many were left out.
 pub fn fit_report(report: &mut RollOutReport) -> usize {
     let routes = std::mem::take(&mut report.evidence.routes);
-    let mut room = MAXIMUM_MESSAGE_BYTES.saturating_sub(ENVELOPE_BYTES + encoded_bytes(report));
+    let mut budget = MAXIMUM_MESSAGE_BYTES.saturating_sub(ENVELOPE_BYTES + encoded_bytes(report));
     let before = routes.len();
     let mut by_answers: Vec<(usize, RouteEvidence)> = routes.into_iter().enumerate().collect();
     by_answers.sort_by_key(|(_, route)| std::cmp::Reverse(answers(route)));
     by_answers.retain(|(_, route)| {
         let bytes = encoded_bytes(route);
-        let fits = bytes <= room;
-        // Once one does not fit, those with fewer answers are left out too: which ones are told must not
-        // change from report to report because of a byte.
-        room = if fits { room - bytes } else { 0 };
+        let fits = bytes <= budget;
+        // Once one does not fit, those with fewer answers are left out too: the selection must not change from
+        // report to report because of a byte.
+        budget = if fits { budget - bytes } else { 0 };
         fits
     });
-    by_answers.sort_by_key(|(place, _)| *place);
+    by_answers.sort_by_key(|(position, _)| *position);
     report.evidence.routes = by_answers.into_iter().map(|(_, route)| route).collect();
     before - report.evidence.routes.len()
 }
@@ -40,7 +40,7 @@
     of_side(&route.old) + of_side(&route.new)
 }
 
-/// Bytes of an encoding; more than fit anywhere if there is none.
+/// Encoded size in bytes; larger than any datagram if the value cannot be encoded.
 fn encoded_bytes(value: &impl serde::Serialize) -> usize {
     postcard::to_allocvec(value).map_or(usize::MAX / 2, |bytes| bytes.len())
 }
--- a/crates/tansylead-gateway/src/cluster/source_feed.rs
+++ b/crates/tansylead-gateway/src/cluster/source_feed.rs
@@ -1,7 +1,7 @@
-//! Reads and watches the source for one topic, while it is this daemon's turn.
+//! Reads and watches the source for one topic, while this daemon is responsible for that.
 //!
-//! It is this daemon's turn if it ranks as a watcher, or if its word has grown old. Invariants: at
-//! most one call is open for each topic; failures are retried with growing, jittered waits.
+//! It is responsible if it ranks as a watcher, or if its data has grown stale. Invariants: at most one
+//! call is open for each topic; failures are retried with exponential, jittered backoff.
 
 use super::view::ClusterView;
 use crate::clock::Clock;
@@ -15,23 +15,23 @@
 use tansylead_route::{FirstReadBackoff, Revision};
 use tansylead_types::Moment;
 
-/// Changes that come within this time are taken together.
-const GATHER_WAIT: Duration = Duration::from_millis(400);
+/// Changes that come within this time are read together.
+const BATCH_WAIT: Duration = Duration::from_millis(400);
 /// The first reads of daemons that start together are spread over this time.
 const FIRST_READ_SPREAD: Duration = Duration::from_millis(20);
-/// Wait of a watch whose word need not be fresh. Calls are priced; a source that has lost a watch without a
-/// word is asked again after this time.
-const QUIET_WATCH: Duration = Duration::from_secs(10);
-/// Period at which the turn is looked at.
-const TURN_PERIOD: Duration = Duration::from_millis(250);
-/// First wait after a failure.
-const FIRST_RETRY: Duration = Duration::from_millis(250);
-/// Longest wait after a failure.
-const LONGEST_RETRY: Duration = Duration::from_secs(2);
-/// Doublings of the wait at most.
+/// Longest duration of a watch of a topic that need not be fresh. Calls cost money; a source that has silently
+/// lost a watch is asked again after this time.
+const RELAXED_WATCH_WAIT: Duration = Duration::from_secs(10);
+/// Mean time between checks whether this daemon is responsible.
+const RESPONSIBILITY_CHECK_PERIOD: Duration = Duration::from_millis(250);
+/// Backoff after the first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest backoff after a failure.
+const MAXIMUM_BACKOFF: Duration = Duration::from_secs(2);
+/// Maximum number of doublings of the backoff.
 const MAXIMUM_DOUBLINGS: u32 = 4;
-/// Shortest time between reads of the orders to roll out because leafs of new versions appeared: the first
-/// leafs of an order appear together, and calls are priced.
+/// Shortest time between reads of the orders to roll out that are caused by leafs of new versions: the first
+/// leafs of an order appear together, and calls cost money.
 const NEEDED_READ_PERIOD: Duration = Duration::from_millis(200);
 
 /// The feed of one topic.
@@ -43,7 +43,7 @@
     topic: Topic,
     position: Option<Revision>,
     failures: u32,
-    /// When the orders to roll out were last read because leafs needed it.
+    /// When the orders to roll out were last read because new leafs needed them.
     last_needed_read: Option<Moment>,
 }
 
@@ -68,18 +68,18 @@
     pub async fn run(mut self) {
         self.read_cached().await;
         loop {
-            self.wait_for_turn().await;
-            let asked = Clock.now();
+            self.wait_until_responsible().await;
+            let asked_at = Clock.now();
             let wait = self.watch_wait();
             let (result, current) = self.ask(wait).await;
             self.count(&result);
             match result {
-                Ok(update) if self.is_late(&update) => self.pass_over(update).await,
+                Ok(update) if self.is_late(&update) => self.discard_late(update).await,
                 Ok(update) => {
-                    let waited = Clock.now().since(asked);
-                    self.take_in(update, current);
+                    let waited = Clock.now().since(asked_at);
+                    self.on_update(update, current);
                     if waited < wait {
-                        self.gather().await;
+                        self.wait_for_batch().await;
                     }
                 }
                 Err(error) => self.on_error(error).await,
@@ -87,16 +87,16 @@
         }
     }
 
-    /// Takes in what the source has at hand, so that callers can be served at once. It may be some
-    /// seconds old and confirms nothing.
+    /// Applies what the source has cached, so that callers can be served at once. It may be some seconds old
+    /// and confirms nothing.
     ///
-    /// If the source does not answer, more reads are started beside those that are open, until one
-    /// is answered or other daemons tell: a call that a silent source has lost is never answered,
-    /// and nothing can be served before. A read that is answered call by call only takes its time.
+    /// If the source does not answer, more reads are started in addition to the open ones, until one is
+    /// answered or other daemons provide the data: a call that a silent source has lost is never answered, and
+    /// nothing can be served before. No read is added while the calls of an open one are being answered.
     async fn read_cached(&mut self) {
         tokio::time::sleep(FIRST_READ_SPREAD.mul_f64(rand::random())).await;
         let source = Rc::clone(&self.source);
-        let mut pace = FirstReadBackoff::default();
+        let mut backoff = FirstReadBackoff::default();
         let mut reads = FuturesUnordered::new();
         let mut last_wait = Clock.now();
         while !self.gateway.knows(self.topic) {
@@ -107,7 +107,7 @@
                 reads.push(source.read(self.topic, Freshness::Cached));
             }
             last_wait = Clock.now();
-            let wait = pace.next_wait(rand::random());
+            let wait = backoff.next_wait(rand::random());
             if let Ok(update) = tokio::time::timeout(wait, first_answer(&mut reads)).await {
                 self.position = Some(update.at);
                 return self.apply(update);
@@ -115,28 +115,28 @@
         }
     }
 
-    async fn wait_for_turn(&mut self) {
-        while !self.view.is_watcher() && !self.is_word_old() {
-            tokio::time::sleep(jittered(TURN_PERIOD)).await;
+    async fn wait_until_responsible(&mut self) {
+        while !self.view.is_watcher() && !self.is_stale() {
+            tokio::time::sleep(jittered(RESPONSIBILITY_CHECK_PERIOD)).await;
         }
     }
 
-    fn is_word_old(&self) -> bool {
+    fn is_stale(&self) -> bool {
         let gateway = &self.gateway;
         let bounds = &gateway.settings.bounds;
         gateway.must_be_fresh(self.topic)
-            && bounds.is_word_old(gateway.age(self.topic), gateway.uptime())
+            && bounds.is_stale(gateway.age(self.topic), gateway.uptime())
     }
 
     fn watch_wait(&self) -> Duration {
         if !self.gateway.must_be_fresh(self.topic) {
-            return QUIET_WATCH;
+            return RELAXED_WATCH_WAIT;
         }
         let age = self.gateway.age(self.topic);
         self.gateway.settings.bounds.watch_wait(age)
     }
 
-    /// Watches, or reads if nothing is known yet, or if leafs that have appeared need the orders to roll
+    /// Watches the topic. Reads it instead if nothing is known yet, or if new leafs need the orders to roll
     /// out at once.
     async fn ask(&mut self, wait: Duration) -> Answer {
         let Some(position) = self.known_position() else {
@@ -145,7 +145,7 @@
         let source = Rc::clone(&self.source);
         let watched = tokio::select! {
             biased;
-            () = self.until_needed() => None,
+            () = self.until_orders_needed() => None,
             result = source.watch(self.topic, position, wait) => Some(result),
         };
         match watched {
@@ -158,22 +158,22 @@
     }
 
     async fn read(&self) -> Answer {
-        let asked = Clock.now();
+        let asked_at = Clock.now();
         let result = self.source.read(self.topic, Freshness::Current).await;
-        (result, asked)
+        (result, asked_at)
     }
 
-    /// Lets further changes come that are taken together with the next answer.
-    async fn gather(&self) {
+    /// Waits for further changes, so that they are read together in the next call.
+    async fn wait_for_batch(&self) {
         tokio::select! {
-            () = self.until_needed() => {}
-            () = tokio::time::sleep(jittered(GATHER_WAIT)) => {}
+            () = self.until_orders_needed() => {}
+            () = tokio::time::sleep(jittered(BATCH_WAIT)) => {}
         }
     }
 
-    /// Waits until leafs that have appeared need the orders to roll out, but not too soon after the last
-    /// time. For other topics it waits for ever.
-    async fn until_needed(&self) {
+    /// Waits until new leafs need the orders to roll out, and until the shortest time since the last such read
+    /// has passed. For other topics it never returns.
+    async fn until_orders_needed(&self) {
         if self.topic != Topic::RollOuts {
             return std::future::pending().await;
         }
@@ -200,7 +200,7 @@
         self.gateway.metrics.on_source_call(self.topic, label);
     }
 
-    /// Where a watch goes on: peers may have brought the topic further than the last watch.
+    /// Revision after which the next watch starts: peers may have provided later ones than the last watch.
     fn known_position(&self) -> Option<Revision> {
         match self.topic {
             Topic::Configuration | Topic::Evacuations => self.position,
@@ -212,18 +212,18 @@
         }
     }
 
-    /// Whether an answer is from before the source came back from a copy.
+    /// Whether an answer is from before the source was restored from a copy.
     fn is_late(&self, update: &SourceUpdate) -> bool {
         self.gateway.is_from_earlier_era(update.at.era)
     }
 
-    /// A source that gives such answers again and again is not asked without a pause.
-    async fn pass_over(&self, update: SourceUpdate) {
+    /// Ignores a late answer, and waits, so that a source which repeats such answers is not asked in a tight loop.
+    async fn discard_late(&self, update: SourceUpdate) {
         log::info!(topic = self.topic.label(), era = update.at.era.0; "late answer of the source passed over");
-        tokio::time::sleep(jittered(FIRST_RETRY)).await;
+        tokio::time::sleep(jittered(INITIAL_BACKOFF)).await;
     }
 
-    fn take_in(&mut self, update: SourceUpdate, current: Moment) {
+    fn on_update(&mut self, update: SourceUpdate, current: Moment) {
         if self.failures > 0 {
             log::info!(topic = self.topic.label(), failures = self.failures; "source regained");
         }
@@ -254,7 +254,7 @@
         if error == SourceError::HistoryGone {
             log::info!(topic = self.topic.label(); "history of the source is gone; reading anew");
             self.position = None;
-            self.read_anew().await;
+            self.reread().await;
             return;
         }
         if self.failures == 0 {
@@ -262,22 +262,22 @@
         }
         let doublings = self.failures.min(MAXIMUM_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let wait = (FIRST_RETRY * 2_u32.pow(doublings)).min(LONGEST_RETRY);
-        tokio::time::sleep(jittered(wait)).await;
+        let backoff = (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(MAXIMUM_BACKOFF);
+        tokio::time::sleep(jittered(backoff)).await;
     }
 
-    async fn read_anew(&mut self) {
-        let (result, asked) = self.read().await;
+    async fn reread(&mut self) {
+        let (result, asked_at) = self.read().await;
         self.count(&result);
         match result {
-            Ok(update) if self.is_late(&update) => self.pass_over(update).await,
-            Ok(update) => self.take_in(update, asked),
-            Err(_) => tokio::time::sleep(jittered(FIRST_RETRY)).await,
+            Ok(update) if self.is_late(&update) => self.discard_late(update).await,
+            Ok(update) => self.on_update(update, asked_at),
+            Err(_) => tokio::time::sleep(jittered(INITIAL_BACKOFF)).await,
         }
     }
 }
 
-/// The first update that any of the reads gives; waits for ever if all of them fail.
+/// The first update that any of the reads returns; never returns if all of them fail.
 async fn first_answer(
     reads: &mut FuturesUnordered<impl Future<Output = Result<SourceUpdate, SourceError>>>,
 ) -> SourceUpdate {
--- a/crates/tansylead-gateway/src/cluster/view.rs
+++ b/crates/tansylead-gateway/src/cluster/view.rs
@@ -9,16 +9,16 @@
 use tansylead_cluster::spread::{FeedSources, FeedTree, ReaderRanking};
 use tansylead_types::{NodeId, PlaceName, ServiceName, ZoneName};
 
-/// Daemons that watch the source, in all regions together, at least: each of them sees every change,
-/// so more would cost calls and bring nothing sooner.
+/// Minimum number of daemons that watch the source, in all regions together: each of them sees every
+/// change, so more would cost calls and spread nothing sooner.
 const WATCHERS: usize = 3;
-/// Daemons that poll any one daemon, at most: it passes every change on to each of them, and a large
-/// one would fill the link of a small machine.
+/// Maximum number of daemons that poll the same daemon: it sends every change to each of them, and a large
+/// change would fill the link of a small machine.
 const FEED_FAN_OUT: usize = 8;
-/// Peers that are tried in turn while polls fail. Those of equal rank are drawn anew each time, so that
-/// a peer that knows nothing yet, such as a seed that has just started, is soon asked again.
+/// Peers that are tried one after another while polls fail. Those of equal rank are ordered at random each
+/// time, so that a peer that knows nothing yet, such as a seed that has just started, is soon asked again.
 const FEED_CANDIDATES: usize = 6;
-/// Daemons that are told reports on leafs, at most: more would cost more than they save.
+/// Maximum number of daemons to send reports on leafs to: more would cost more than they save.
 const MAXIMUM_REPORT_PEERS: usize = 32;
 
 /// Members as one daemon sees them.
@@ -30,26 +30,26 @@
     seeds: RefCell<Vec<SocketAddr>>,
     /// Daemons that have registered with the source.
     registered: RefCell<Vec<SocketAddr>>,
-    /// Registered daemons that membership has not been told of yet.
-    hints: RefCell<Option<Vec<SocketAddr>>>,
+    /// Registered daemons that were not passed to membership yet.
+    new_registered: RefCell<Option<Vec<SocketAddr>>>,
     members: RefCell<Vec<MemberRecord>>,
-    /// The members that watch the source; ranked anew whenever the members change.
+    /// The members that watch the source; computed again whenever the members change.
     watchers: RefCell<HashSet<NodeId>>,
-    /// Whom this daemon polls; found anew whenever the members change.
+    /// Whom this daemon polls; computed again whenever the members change.
     sources: RefCell<FeedSources>,
     joined: Cell<bool>,
-    /// Rises whenever the members change.
+    /// Incremented whenever the members change.
     members_version: Cell<u64>,
-    /// This daemon's run, as membership tells it to the others.
+    /// Boot number of this daemon's run, as membership sends it to the others.
     boot: Cell<u64>,
 }
 
-/// How good a member is to poll; the least is the best.
+/// Preference among members to poll; the least is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FeedRank {
     /// The parent in the tree of the own region.
     Parent,
-    /// Another member of the own region that is nearer to the source.
+    /// Another member of the own region that is closer to the source.
     Upstream,
     /// A watcher of another region.
     RemoteWatcher,
@@ -68,7 +68,7 @@
             regions: regions.max(1),
             seeds: RefCell::new(seeds),
             registered: RefCell::default(),
-            hints: RefCell::default(),
+            new_registered: RefCell::default(),
             members: RefCell::default(),
             watchers: RefCell::default(),
             sources: RefCell::default(),
@@ -83,15 +83,15 @@
         *self.seeds.borrow_mut() = seeds;
     }
 
-    /// Sets the daemons that have registered: to join through, and to poll like seeds.
-    pub fn set_hints(&self, hints: Vec<SocketAddr>) {
-        self.registered.borrow_mut().clone_from(&hints);
-        *self.hints.borrow_mut() = Some(hints);
+    /// Sets the daemons that have registered, to join through and to poll like seeds.
+    pub fn set_registered(&self, registered: Vec<SocketAddr>) {
+        self.registered.borrow_mut().clone_from(&registered);
+        *self.new_registered.borrow_mut() = Some(registered);
     }
 
-    /// Takes the registered daemons that membership has not been told of yet.
-    pub fn take_hints(&self) -> Option<Vec<SocketAddr>> {
-        self.hints.borrow_mut().take()
+    /// Takes the registered daemons that were not passed to membership yet.
+    pub fn take_new_registered(&self) -> Option<Vec<SocketAddr>> {
+        self.new_registered.borrow_mut().take()
     }
 
     /// Replaces the members that run.
@@ -107,7 +107,7 @@
         self.joined.set(joined);
     }
 
-    /// Rises whenever the members change.
+    /// A number that is incremented whenever the members change.
     pub fn members_version(&self) -> u64 {
         self.members_version.get()
     }
@@ -123,7 +123,7 @@
         judges(service, self.members.borrow().iter())
     }
 
-    /// Sets this daemon's run, as membership tells it to the others: later runs are greater.
+    /// Sets the boot number of this daemon's run, as membership sends it to the others: later runs have greater ones.
     pub fn set_boot(&self, boot: u64) {
         self.boot.set(boot);
     }
@@ -149,7 +149,7 @@
             .collect()
     }
 
-    /// Whether the member table was completed from a peer, or there is nobody to join.
+    /// Whether the member table was completed from a peer, or there is no peer to join.
     pub fn is_joined(&self) -> bool {
         self.joined.get()
     }
@@ -160,8 +160,8 @@
         members.iter().all(|member| member.node() == self.node)
     }
 
-    /// Whether this daemon watches the source. Until it has joined the others it cannot rank them:
-    /// then it watches if it is a seed, since the others poll seeds until they have joined.
+    /// Whether this daemon watches the source. Before it has joined it cannot rank the members: then it
+    /// watches if it is a seed, since the others poll seeds until they have joined.
     pub fn is_watcher(&self) -> bool {
         if self.joined.get() {
             self.watchers.borrow().contains(&self.node)
@@ -185,9 +185,9 @@
         peers
     }
 
-    /// Seeds in random order, then registered daemons in random order; of both those first that are known to run
-    /// in the own region. What all daemons of a large fleet read through them when they start is large, and
-    /// dear between regions.
+    /// Seeds in random order, then registered daemons in random order; in each group those first that are known
+    /// to run in the own region. What all daemons of a large fleet read through them when they start is large,
+    /// and traffic between regions is expensive.
     fn entry_points(&self) -> Vec<SocketAddr> {
         let mut points: Vec<SocketAddr> = Vec::new();
         for list in [&self.seeds, &self.registered] {
@@ -217,7 +217,7 @@
         ranked.into_iter().map(|(_, peer)| peer).collect()
     }
 
-    /// Daemons of the own region to tell reports on leafs: all of them, or some by chance if they are
+    /// Daemons of the own region to send reports on leafs to: all of them, or a random sample if they are
     /// many.
     pub fn report_peers(&self) -> Vec<SocketAddr> {
         let members = self.members.borrow();
@@ -228,7 +228,7 @@
         peers.sample(&mut rand::rng(), MAXIMUM_REPORT_PEERS)
     }
 
-    /// Some of the other daemons, by chance.
+    /// A random sample of the other daemons.
     pub fn random_peers(&self, count: usize) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let others = members.iter().filter(|member| member.node() != self.node);
@@ -236,8 +236,8 @@
         peers.sample(&mut rand::rng(), count)
     }
 
-    /// Daemons to tell what concerns requests that come again: those of the own zone first, to which callers
-    /// mostly come back, then others by chance, `count` in all.
+    /// `count` daemons to inform about requests that callers may repeat: those of the own zone first, to which callers
+    /// mostly return, then others at random.
     pub fn near_peers(&self, zone: &ZoneName, count: usize) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let mut others: Vec<&MemberRecord> = members
@@ -257,7 +257,7 @@
         member.is_some_and(|member| member.place == self.place)
     }
 
-    /// Whether no member would be a better peer to poll than this one.
+    /// Whether no member is a better peer to poll than this one.
     pub fn is_best_feed_peer(&self, peer: SocketAddr) -> bool {
         if !self.joined.get() {
             let seeds = self.seeds.borrow();
--- a/crates/tansylead-gateway/src/execution/at_root.rs
+++ b/crates/tansylead-gateway/src/execution/at_root.rs
@@ -6,7 +6,7 @@
 
 use super::outcome::{Outcome, Refusal, RefusalReason};
 use crate::clock::Clock;
-use crate::cluster::{AskError, ForwardedQuery, ForwardedReply, RootPeer};
+use crate::cluster::{ForwardError, ForwardedQuery, ForwardedReply, RootPeer};
 use crate::leaf::OutgoingRequest;
 use crate::metrics::ForwardedResult;
 use crate::request_trace::RequestTrace;
@@ -59,7 +59,7 @@
             held,
             self.time_left,
         );
-        let asking = root.ask(query, objective.mul_f64(CONNECT_SHARE));
+        let asking = root.forward(query, objective.mul_f64(CONNECT_SHARE));
         let waited = self.wait(&root, sent, asking).await;
         self.finish(&root, sent, waited)
     }
@@ -82,7 +82,7 @@
         &self,
         root: &RootPeer,
         sent: Moment,
-        asking: impl Future<Output = Result<ForwardedReply, AskError>>,
+        asking: impl Future<Output = Result<ForwardedReply, ForwardError>>,
     ) -> Waited {
         let policy = &self.route.policy;
         let objective = policy.objective;
@@ -129,7 +129,7 @@
                 }
             }
             Waited::Replied {
-                reply: Err(AskError::NotSent(error)),
+                reply: Err(ForwardError::NotSent(error)),
                 ..
             } => {
                 log::debug!(error:% = error; "query not sent to root");
@@ -137,7 +137,7 @@
                 (ForwardedResult::NotSent, None)
             }
             Waited::Replied {
-                reply: Err(AskError::MaybeRun(error)),
+                reply: Err(ForwardError::MaybeRun(error)),
                 ..
             } => {
                 log::info!(error:% = error; "root lost with a query");
@@ -159,7 +159,7 @@
 enum Waited {
     /// With a reply, or a connection that ended.
     Replied {
-        reply: Result<ForwardedReply, AskError>,
+        reply: Result<ForwardedReply, ForwardError>,
         is_overdue: bool,
     },
     /// The root answers nobody.
--- a/crates/tansylead-gateway/src/roll_out/context.rs
+++ b/crates/tansylead-gateway/src/roll_out/context.rs
@@ -25,7 +25,7 @@
     pub fn new(bounds: &GatewayBounds, started: Moment, metrics: RollOutMetrics) -> Self {
         Self {
             follows_roll_outs: bounds.follow_roll_outs,
-            word_limit: bounds.word_limit(),
+            word_limit: bounds.staleness_limit(),
             confirmed: Cell::new(started),
             changed: Notify::new(),
             metrics,
--- a/crates/tansylead-gateway/src/settings.rs
+++ b/crates/tansylead-gateway/src/settings.rs
@@ -143,10 +143,10 @@
         Ok(settings)
     }
 
-    /// What this machine bears, as other daemons are told.
+    /// Capacity of this machine, as other daemons see it.
     pub fn capacity(&self) -> Capacity {
         let whole = f64::from(Capacity::CORE.0) * self.processor_cores;
-        // Larger machines than can be told count as the largest that can.
+        // A capacity above the largest that can be encoded counts as that one.
         Capacity(whole.clamp(1.0, f64::from(u16::MAX)) as u16)
     }
 
@@ -225,31 +225,30 @@
         Duration::from_secs_f64(self.stop_limit_seconds)
     }
 
-    /// A leaf whose entry is missing may be used this long, if no other is left. Leafs that leave
-    /// without a word serve on for the whole limit.
+    /// How long a leaf whose entry is missing may be used if no other is left. Leafs that leave unannounced
+    /// continue to serve for the whole limit.
     pub fn missing_grace(&self) -> Duration {
-        /// Part of the limit; the rest is for the time until the daemon learns of it.
+        /// Share of the limit; the rest is for the time until the daemon learns that the entry is missing.
         const SHARE: f64 = 0.6;
         Duration::from_secs_f64(self.leaving_limit_millis * SHARE / 1_000.0)
     }
 
-    /// How long a watch of the source may be without news, if what is held was confirmed `age` ago:
-    /// it is confirmed again well before the word is too old for the daemons that rely on it.
+    /// How long a watch of the source may wait for news, if the data held was confirmed `age` ago: it is
+    /// confirmed again well before it is too stale for the daemons that rely on it.
     pub fn watch_wait(&self, age: Option<Duration>) -> Duration {
-        /// Part of the oldest word; the rest is for the way to the other daemons.
+        /// Share of the staleness limit; the rest is for the time until the other daemons are reached.
         const SHARE: f64 = 0.8;
         const SHORTEST: Duration = Duration::from_millis(200);
-        let confirm_within = self.word_limit().mul_f64(SHARE);
+        let confirm_within = self.staleness_limit().mul_f64(SHARE);
         let age = age.unwrap_or(confirm_within);
         confirm_within.saturating_sub(age).max(SHORTEST)
     }
 
-    /// Whether a word that was confirmed `age` ago is too old to rely on without asking the source.
-    /// What the first, cached read of a daemon brought is of unknown age: other daemons have as much
-    /// time to confirm it as any word may be old, so that a whole fleet that starts at once does not
-    /// ask the source daemon by daemon.
-    pub fn is_word_old(&self, age: Option<Duration>, uptime: Duration) -> bool {
-        age.unwrap_or(uptime) > self.word_limit()
+    /// Whether data that was confirmed `age` ago is too stale to rely on without asking the source. The age
+    /// of what the first, cached read returned is unknown: other daemons have the whole staleness limit to
+    /// confirm it, so that in a fleet that starts at once not every daemon asks the source.
+    pub fn is_stale(&self, age: Option<Duration>, uptime: Duration) -> bool {
+        age.unwrap_or(uptime) > self.staleness_limit()
     }
 
     /// What this daemon follows at the source.
@@ -271,9 +270,9 @@
         }
     }
 
-    /// Oldest word from the source that the daemon relies on without asking itself.
-    pub fn word_limit(&self) -> Duration {
-        /// Part of the tightest of the bounds.
+    /// Greatest age of confirmed data on which the daemon relies without asking the source itself.
+    pub fn staleness_limit(&self) -> Duration {
+        /// Share of the tightest of the bounds.
         const SHARE: f64 = 0.8;
         let mut limit = self
             .configuration_limit_millis
--- a/crates/tansylead-gateway/src/state.rs
+++ b/crates/tansylead-gateway/src/state.rs
@@ -331,7 +331,7 @@
     /// Counts the daemons that share budgets and connections. A daemon that has just started does
     /// not know the others yet: until then it takes it that there are some.
     pub fn count_daemons(&self) {
-        let are_known = self.uptime() >= self.settings.bounds.word_limit();
+        let are_known = self.uptime() >= self.settings.bounds.staleness_limit();
         let known = self.known_daemons.borrow();
         let counts = if are_known {
             known.clone()
--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -253,7 +253,7 @@
 
     /// Whether nothing has been heard of the leafs for longer than their entries are relied on.
     fn is_word_of_leafs_old(&self) -> bool {
-        let limit = self.settings.bounds.word_limit();
+        let limit = self.settings.bounds.staleness_limit();
         self.age(Topic::Leafs).is_some_and(|age| age > limit)
     }
 
--- a/crates/tansylead-gateway/tests/feed_between_daemons.rs
+++ b/crates/tansylead-gateway/tests/feed_between_daemons.rs
@@ -51,11 +51,11 @@
 }
 
 #[tokio::test]
-async fn a_word_confirms_nothing_that_the_reply_did_not_bring_up_to_date() {
-    // Regression: after a loss of all daemons the store's list lacked leafs whose entries had lapsed. A
-    // daemon of another region held more, left the whole directory out of its replies, and its word
-    // counted all the same: a third of the daemons refused queries for 7 s (fresh-bd42, large
-    // Registry).
+async fn a_confirmation_covers_nothing_that_the_reply_did_not_bring_up_to_date() {
+    // Regression: after a loss of all daemons the store's list lacked leafs whose entries had expired. A
+    // daemon of another region held more and left the whole directory out of its replies, but its
+    // confirmation counted all the same: a third of the daemons refused queries for 7 s (fresh-bd42,
+    // large Registry).
     let peer = gateway(
         vec![leaf("lapsed"), leaf("listed")],
         Revision::first_era(10),
@@ -74,7 +74,7 @@
         let confirmed = changes.wait_for(|_| own.age(Topic::Leafs).is_some());
         let confirmed = tokio::time::timeout(HANG_LIMIT, confirmed).await;
         confirmed
-            .expect("the word is told")
+            .expect("a confirmation arrives")
             .expect("the daemon runs");
         assert_eq!(own.directory().revision(), Some(Revision::first_era(10)));
         assert_eq!(own.directory().entries().count(), 2);
@@ -82,7 +82,7 @@
     LocalSet::new().run_until(learning).await;
 }
 
-/// Passes connections on to `target` and counts the bytes sent there.
+/// Relays connections to `target` and counts the bytes sent there.
 async fn counting_relay(target: SocketAddr, bytes: Rc<Cell<usize>>) -> SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
     let listener = listener.expect("binds");
@@ -114,9 +114,9 @@
 
 #[tokio::test]
 async fn a_peer_that_answers_at_once_without_news_is_not_polled_without_a_pause() {
-    // Such a peer has a fresher word, but of an older revision than is held here. Polls without a pause
-    // send 100 kB and more in the time of the test; a slow machine sends less.
-    const MOST_BYTES: usize = 5_000;
+    // The data of such a peer is fresher, but of an older revision than the polling daemon holds. Polls without
+    // a pause send 100 kB and more in the time of the test; a slow machine sends less.
+    const MAXIMUM_BYTES: usize = 5_000;
     let own = gateway(vec![leaf("listed")], Revision::first_era(10));
     let peer = gateway(vec![leaf("listed")], Revision::first_era(5));
     peer.confirm(Topic::Configuration, Clock.now());
@@ -130,11 +130,11 @@
         spawn_local(serve_peers(Rc::clone(&peer)));
         spawn_local(PeerFeed::new(Rc::clone(&own), view).run());
         tokio::time::sleep(Duration::from_secs(1)).await;
-        assert!(sent.get() < MOST_BYTES, "{} bytes", sent.get());
+        assert!(sent.get() < MAXIMUM_BYTES, "{} bytes", sent.get());
         assert_eq!(
             own.age(Topic::Leafs),
             None,
-            "an older word confirms nothing"
+            "an older revision confirms nothing"
         );
     };
     LocalSet::new().run_until(polling).await;
@@ -184,7 +184,7 @@
         peer.apply_roll_outs(orders(RollOutState::RolledBack, 20));
         wait_for(&own, || state(&own) == Some(RollOutState::RolledBack)).await;
         assert_eq!(own.roll_outs(), peer.roll_outs());
-        // The order is taken back.
+        // The order is revoked.
         let none = RollOuts {
             at: Revision::first_era(30),
             ..RollOuts::default()
@@ -206,7 +206,7 @@
     peer.confirm(Topic::Configuration, Clock.now());
     own.apply_roll_outs(newer.clone());
     while_polling(&peer, &own, async {
-        // The reply that confirms the directory has brought the orders too.
+        // The reply that confirms the directory contains the orders too.
         peer.confirm(Topic::Leafs, Clock.now());
         wait_for(&own, || own.age(Topic::Leafs).is_some()).await;
         assert_eq!(own.roll_outs(), Some(newer));
@@ -239,17 +239,17 @@
 }
 
 #[test]
-fn a_poll_tells_of_no_orders_in_a_few_bytes() {
-    // In the request what is held and what is needed, in the reply what is newer and what is held.
-    const MOST_BYTES: usize = 8;
+fn a_poll_without_orders_spends_only_a_few_bytes_on_them() {
+    // The request carries what is held and needed, the reply what is newer and held.
+    const MAXIMUM_BYTES: usize = 8;
     let none = RollOuts {
         at: Revision::first_era(10_000_000),
         ..RollOuts::default()
     };
-    let asked = postcard::to_stdvec(&(Some(none.mark()), None::<Revision>));
-    let told = postcard::to_stdvec(&(None::<RollOuts>, Some(none.mark())));
-    for message in [asked, told] {
+    let request = postcard::to_stdvec(&(Some(none.mark()), None::<Revision>));
+    let reply = postcard::to_stdvec(&(None::<RollOuts>, Some(none.mark())));
+    for message in [request, reply] {
         let bytes = message.expect("encodes").len();
-        assert!(bytes <= MOST_BYTES, "{bytes} bytes");
+        assert!(bytes <= MAXIMUM_BYTES, "{bytes} bytes");
     }
 }
--- a/crates/tansylead-gateway/tests/feeds.rs
+++ b/crates/tansylead-gateway/tests/feeds.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tansylead_cluster::membership::{Capacity, MemberRecord, MemberState};
-use tansylead_gateway::cluster::{ClusterView, PeerTurn, RegistrationNeed, WordAges};
+use tansylead_gateway::cluster::{ClusterView, PeerSession, RegistrationNeed, TopicAges};
 use tansylead_gateway::settings::GatewayBounds;
 use tansylead_types::{InstanceId, NodeId, PlaceName, ZoneName};
 
-/// Polls until the turn is over.
-fn polls(mut turn: PeerTurn, is_best: bool) -> u32 {
+/// Number of polls until the session is over.
+fn polls(mut session: PeerSession, is_best: bool) -> u32 {
     let mut polls = 1;
-    while !turn.on_answer(is_best) {
+    while !session.on_answer(is_best) {
         polls += 1;
     }
     polls
@@ -19,21 +19,21 @@
 
 #[test]
 fn a_substitute_is_left_soon_once_a_better_peer_is_known() {
-    // Regression: a daemon that had met failures kept to a peer that was no watcher for 30 polls,
-    // found its word old, and asked the store itself every few seconds.
-    let turn = PeerTurn::new(true);
-    assert!((2..=5).contains(&polls(turn, false)));
+    // Regression: after failures a daemon stayed for 30 polls with a peer that was no watcher, so that
+    // its data grew stale and it asked the store itself every few seconds.
+    let session = PeerSession::new(true);
+    assert!((2..=5).contains(&polls(session, false)));
 }
 
 #[test]
 fn the_best_peer_is_kept_and_any_other_left_at_once() {
-    assert!(polls(PeerTurn::new(false), true) >= 30);
-    assert_eq!(polls(PeerTurn::new(false), false), 1);
+    assert!(polls(PeerSession::new(false), true) >= 30);
+    assert_eq!(polls(PeerSession::new(false), false), 1);
 }
 
 #[test]
 fn a_watcher_confirms_its_word_before_it_is_too_old_for_others() {
-    // Regression: a fixed wait after a pause between watches let words grow older than the limit.
+    // Regression: with a fixed wait after a pause between watches, data grew older than the limit.
     for limit_millis in [3_000.0, 5_000.0, 60_000.0] {
         let bounds = GatewayBounds {
             configuration_limit_millis: limit_millis,
@@ -43,13 +43,13 @@
         for age_millis in [0, 100, 600] {
             let age = Duration::from_millis(age_millis);
             let confirmed_after = age + bounds.watch_wait(Some(age));
-            assert!(confirmed_after < bounds.word_limit());
+            assert!(confirmed_after < bounds.staleness_limit());
         }
     }
 }
 
 #[test]
-fn a_word_that_is_too_old_is_confirmed_at_once() {
+fn data_that_is_too_stale_is_confirmed_at_once() {
     let bounds = GatewayBounds::default();
     assert!(bounds.watch_wait(None) <= Duration::from_millis(200));
     let old = Duration::from_secs(60);
@@ -57,20 +57,20 @@
 }
 
 #[test]
-fn a_roll_back_is_heard_of_in_time_where_services_can_be_rolled_out() {
+fn a_roll_back_is_learned_in_time_where_services_can_be_rolled_out() {
     let bounds = GatewayBounds {
         roll_back_limit_millis: 1_000.0,
         ..GatewayBounds::default()
     };
-    assert!(bounds.word_limit() < Duration::from_secs(1));
+    assert!(bounds.staleness_limit() < Duration::from_secs(1));
     let without = GatewayBounds {
         follow_roll_outs: false,
         ..bounds
     };
-    assert!(without.word_limit() > Duration::from_secs(1));
+    assert!(without.staleness_limit() > Duration::from_secs(1));
 }
 
-/// Members of two regions, as many in each, and one of them as the viewer.
+/// The members of two regions with `each` members, and the view of the first one.
 fn view(each: u16) -> (ClusterView, Vec<MemberRecord>) {
     let mut members = Vec::new();
     for (region, name) in ["north", "south"].into_iter().enumerate() {
@@ -124,8 +124,8 @@
 
 #[test]
 fn a_daemon_passes_changes_on_to_few_others() {
-    // Regression: one watcher passed a large configuration on to 23 daemons, its link was full, and
-    // requests reached leafs 0.6 s late, with more time than was left (hunt-1be7-3, grown Registry).
+    // Regression: one watcher sent a large configuration to 23 daemons and filled its link. Requests reached
+    // leafs 0.6 s late, with a longer time limit than was left (hunt-1be7-3, grown Registry).
     let (_, members) = view(48);
     let mut polled: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for (_, own) in all_views(&members) {
@@ -140,7 +140,7 @@
 
 #[test]
 fn the_daemons_that_watch_do_not_grow_in_number_with_the_fleet() {
-    // Regression: with one watcher for eight daemons, 95 daemons made 785 priced calls on a calm day.
+    // Regression: with one watcher for eight daemons, 95 daemons made 785 paid calls on a day without faults.
     for each in [4, 24, 400] {
         let (_, members) = view(each);
         let views = all_views(&members);
@@ -151,7 +151,7 @@
 
 #[test]
 fn only_seeds_watch_before_they_have_joined_and_the_others_poll_them() {
-    // Regression: each of 95 daemons that started together asked the source for itself.
+    // Regression: each of 95 daemons that started together asked the source itself.
     let (_, members) = view(24);
     let seeds: Vec<SocketAddr> = members[..2].iter().map(|seed| seed.node().0).collect();
     for member in &members {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_daemon_whose_parent_fails_goes_to_others_nearer_to_the_source_first() {
+fn a_daemon_whose_parent_fails_polls_others_closer_to_the_source_first() {
     let (_, members) = view(48);
     let views = all_views(&members);
     let watchers = views.iter().filter(|(_, own)| own.is_watcher());
@@ -187,8 +187,8 @@
 
 #[test]
 fn a_daemon_that_has_not_joined_soon_asks_its_seeds_again() {
-    // Regression: after a loss of all daemons, seeds that knew nothing yet were left for members that
-    // knew nothing either, and 37 of 95 daemons asked the source for themselves.
+    // Regression: after a loss of all daemons, seeds that knew nothing yet were abandoned for members that
+    // knew nothing either, and 37 of 95 daemons asked the source themselves.
     let (_, members) = view(24);
     let seeds: Vec<SocketAddr> = members[..3].iter().map(|seed| seed.node().0).collect();
     let member = &members[10];
@@ -205,23 +205,23 @@
     let registered: SocketAddr = ([10, 0, 0, 3], 1).into();
     let place = PlaceName::new("north").expect("valid name");
     let own = ClusterView::new(NodeId(seeds[0]), place, 2, seeds.clone());
-    own.set_hints(vec![registered, seeds[0]]);
+    own.set_registered(vec![registered, seeds[0]]);
     assert!(own.is_alone());
     assert_eq!(own.feed_peers(), vec![seeds[1], registered]);
     assert!(own.is_best_feed_peer(registered), "it is kept");
 }
 
 #[test]
-fn a_word_of_unknown_age_counts_as_old_as_its_daemon() {
-    // Regression: 95 daemons that started together asked the source one by one to confirm what the
-    // cached read had brought, before the daemons that watch could tell them.
+fn data_of_unknown_age_counts_as_old_as_its_daemon() {
+    // Regression: 95 daemons that started together each asked the source to confirm the result of the
+    // cached read, before the watching daemons could confirm it to them.
     let bounds = GatewayBounds::default();
-    let limit = bounds.word_limit();
+    let limit = bounds.staleness_limit();
     let moment = Duration::from_millis(1);
-    assert!(!bounds.is_word_old(None, limit));
-    assert!(bounds.is_word_old(None, limit + moment));
-    assert!(!bounds.is_word_old(Some(limit), limit * 10));
-    assert!(bounds.is_word_old(Some(limit + moment), limit * 10));
+    assert!(!bounds.is_stale(None, limit));
+    assert!(bounds.is_stale(None, limit + moment));
+    assert!(!bounds.is_stale(Some(limit), limit * 10));
+    assert!(bounds.is_stale(Some(limit + moment), limit * 10));
 }
 
 #[test]
@@ -232,41 +232,48 @@
     let old = Duration::from_secs(30);
     for (node, own) in all_views(&members) {
         let need = RegistrationNeed::new(&own, old);
-        assert_eq!(need.is_to_be_found, own.is_watcher(), "{node}");
-        assert!(!need.is_lost);
+        assert_eq!(need.must_register, own.is_watcher(), "{node}");
+        assert!(!need.must_discover);
     }
     let member = &members[5];
     let own = ClusterView::new(member.node(), member.place.clone(), 2, Vec::new());
     own.set_members(vec![member.clone()], false);
-    assert!(RegistrationNeed::new(&own, young).is_to_be_found, "alone");
-    assert!(RegistrationNeed::new(&own, young).is_lost, "alone");
+    assert!(RegistrationNeed::new(&own, young).must_register, "alone");
+    assert!(RegistrationNeed::new(&own, young).must_discover, "alone");
     own.set_members(members[..9].to_vec(), false);
-    assert!(!RegistrationNeed::new(&own, young).is_lost, "still joining");
-    assert!(RegistrationNeed::new(&own, old).is_lost, "never joined");
+    assert!(
+        !RegistrationNeed::new(&own, young).must_discover,
+        "still joining"
+    );
+    assert!(
+        RegistrationNeed::new(&own, old).must_discover,
+        "never joined"
+    );
 }
 
 #[test]
-fn a_daemon_that_is_handed_the_table_of_a_large_fleet_is_not_lost() {
-    // Those that had not joined in the time of a small fleet all registered, and read the list each 2 s.
+fn a_daemon_that_still_receives_the_table_of_a_large_fleet_needs_no_discovery() {
+    // Regression: daemons that had not joined in the time of a small fleet all registered, and read the list
+    // every 2 s.
     for (known, seconds) in [(1_000_u16, 25), (2_000, 45)] {
         let (_, members) = view(known);
         let member = &members[5];
         let own = ClusterView::new(member.node(), member.place.clone(), 2, Vec::new());
         own.set_members(members[..usize::from(known)].to_vec(), false);
         let need = RegistrationNeed::new(&own, Duration::from_secs(seconds));
-        assert!(!need.is_lost, "{known}");
+        assert!(!need.must_discover, "{known}");
         assert!(
-            RegistrationNeed::new(&own, Duration::from_secs(60)).is_lost,
+            RegistrationNeed::new(&own, Duration::from_secs(60)).must_discover,
             "not for ever"
         );
     }
 }
 
 #[test]
-fn a_fresher_word_is_told_at_once_but_not_the_same_word_again() {
-    // Regression: a confirmation that came while a poll was on its way was told a whole poll later, and
-    // half of the daemons asked the source since their word had grown old meanwhile.
-    let ages = |configuration, leafs| WordAges {
+fn a_fresher_confirmation_is_sent_at_once_but_not_the_same_one_again() {
+    // Regression: a confirmation that arrived while a poll was in flight was sent a whole poll later, and
+    // half of the daemons asked the source since their data had grown stale meanwhile.
+    let ages = |configuration, leafs| TopicAges {
         configuration,
         leafs,
         evacuations: Some(0),
--- a/crates/tansylead-gateway/tests/large_fleet.rs
+++ b/crates/tansylead-gateway/tests/large_fleet.rs
@@ -1,10 +1,10 @@
-//! What one daemon of a large fleet holds and computes, by counts and not by the clock.
+//! What one daemon of a large fleet holds and computes, measured by counts instead of time.
 
 mod common;
 
 use std::path::Path;
 use std::time::Duration;
-use tansylead_gateway::cluster::PublishPace;
+use tansylead_gateway::cluster::PublishThrottle;
 use tansylead_gateway::state::Gateway;
 use tansylead_gateway::{GatewaySettings, HeaderNames};
 use tansylead_route::{DaemonCounts, DirectoryDelta, LeafEntry, Revision};
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn leafs_that_come_and_go_before_a_service_is_used_are_as_the_directory_says() {
+fn leafs_that_change_before_a_service_is_used_are_as_in_the_directory() {
     let gateway = gateway(false);
     gateway.apply_directory(everything(450));
     let mut kept = entries(450);
@@ -89,27 +89,31 @@
         assert_eq!(service.shared(), shared, "nothing is computed");
     }
     gateway.service(&shard(0));
-    assert_ne!(service.shared(), shared, "the parts are those of now");
+    assert_ne!(
+        service.shared(),
+        shared,
+        "the parts are those of the current daemons"
+    );
 }
 
 #[test]
 fn changes_that_come_together_are_evaluated_together() {
     let at = |millis: u64| Moment::default() + Duration::from_millis(1_000_000 + millis);
-    for (members, most) in [(9, 600), (1_000, 7), (2_000, 4)] {
-        let mut pace = PublishPace::default();
+    for (members, maximum) in [(9, 600), (1_000, 7), (2_000, 4)] {
+        let mut throttle = PublishThrottle::default();
         let mut evaluated = 0;
         // One change in each millisecond of a second.
         for millis in 0..1_000 {
-            pace.on_change();
-            if pace.due().is_some_and(|due| due <= at(millis)) {
-                pace.on_published(at(millis), members);
+            throttle.on_change();
+            if throttle.due().is_some_and(|due| due <= at(millis)) {
+                throttle.on_published(at(millis), members);
                 evaluated += 1;
             }
         }
-        assert!(evaluated <= most, "{evaluated} with {members} members");
-        // What came last is evaluated too, soon.
-        pace.on_change();
-        let due = pace.due().expect("a change waits");
+        assert!(evaluated <= maximum, "{evaluated} with {members} members");
+        // The last change is evaluated soon, too.
+        throttle.on_change();
+        let due = throttle.due().expect("a change waits");
         assert!(due <= at(1_000) + Duration::from_micros(200) * members as u32);
     }
 }
@@ -117,8 +121,8 @@
 #[test]
 fn a_daemon_that_has_joined_does_not_wait() {
     let now = Moment::default() + Duration::from_secs(1);
-    let mut pace = PublishPace::default();
-    pace.on_published(now, 2_000);
-    pace.on_joined();
-    assert!(pace.due().is_some_and(|due| due <= now));
+    let mut throttle = PublishThrottle::default();
+    throttle.on_published(now, 2_000);
+    throttle.on_joined();
+    assert!(throttle.due().is_some_and(|due| due <= now));
 }
--- a/crates/tansylead-gateway/tests/query_roots.rs
+++ b/crates/tansylead-gateway/tests/query_roots.rs
@@ -1,4 +1,4 @@
-//! Queries that one daemon hands to another.
+//! Queries that one daemon forwards to another.
 
 mod common;
 
@@ -30,7 +30,7 @@
 use tokio::task::{LocalSet, spawn_local};
 
 const OBJECTIVE: Duration = Duration::from_millis(200);
-const WAITS: Duration = Duration::from_secs(4);
+const TIME_LEFT: Duration = Duration::from_secs(4);
 const VERSION: u64 = 7;
 
 fn free_address() -> SocketAddr {
@@ -59,7 +59,7 @@
         policy: Policy {
             repeatable,
             maximum_attempts: 2,
-            timeout: WAITS,
+            timeout: TIME_LEFT,
             objective: OBJECTIVE,
             priority: 1,
             homes,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Tells a daemon on a small machine of its roots.
+/// Sets the roots of a daemon on a small machine.
 fn set_roots(gateway: &Gateway, roots: [SocketAddr; 2]) {
     let own = gateway.settings.peer_address;
     let mut members = vec![member(own, Capacity(120))];
@@ -141,7 +141,7 @@
     }
 }
 
-/// A leaf that answers every request as run.
+/// A leaf that answers every request as executed.
 async fn leaf() -> SocketAddr {
     let names = HeaderNames::default();
     let answer = format!(
@@ -164,14 +164,14 @@
     address
 }
 
-async fn ask(gateway: &Rc<Gateway>, route: &Route) -> Option<Outcome> {
+async fn run_at_root(gateway: &Rc<Gateway>, route: &Route) -> Option<Outcome> {
     let at_root = QueryAtRoot {
         gateway,
         route,
         version: VERSION,
         request: &request(),
         arrived: Clock.now(),
-        time_left: WAITS,
+        time_left: TIME_LEFT,
         trace: &RequestTrace::default(),
     };
     at_root.run().await
@@ -191,7 +191,7 @@
         spawn_local(serve_peers(Rc::clone(&root)));
         tokio::task::yield_now().await;
         for _ in 0..2 {
-            let outcome = ask(&own, &search()).await;
+            let outcome = run_at_root(&own, &search()).await;
             let Some(Outcome::Merged {
                 signatures,
                 missing,
@@ -220,7 +220,7 @@
         let asking = async {
             spawn_local(serve_peers(Rc::clone(&root)));
             tokio::task::yield_now().await;
-            assert!(ask(&own, &search()).await.is_none());
+            assert!(run_at_root(&own, &search()).await.is_none());
         };
         LocalSet::new().run_until(asking).await;
     }
@@ -238,12 +238,12 @@
         spawn_local(serve_peers(Rc::clone(&root)));
         tokio::task::yield_now().await;
         assert!(
-            ask(&own, &route(HomeRegions::default(), false))
+            run_at_root(&own, &route(HomeRegions::default(), false))
                 .await
                 .is_none()
         );
-        assert!(ask(&own, &route(elsewhere, true)).await.is_none());
-        assert!(ask(&own, &route(here, true)).await.is_some());
+        assert!(run_at_root(&own, &route(elsewhere, true)).await.is_none());
+        assert!(run_at_root(&own, &route(here, true)).await.is_some());
     };
     LocalSet::new().run_until(asking).await;
 }
@@ -253,7 +253,7 @@
     let own = gateway(VERSION, free_address());
     set_roots(&own, [free_address(), free_address()]);
     for _ in 0..2 {
-        assert!(ask(&own, &search()).await.is_none());
+        assert!(run_at_root(&own, &search()).await.is_none());
     }
     let zone = &own.settings.zone;
     assert!(
@@ -274,7 +274,7 @@
     });
     let own = gateway(VERSION, free_address());
     set_roots(&own, [root; 2]);
-    let outcome = ask(&own, &search()).await;
+    let outcome = run_at_root(&own, &search()).await;
     assert!(
         is_refused_as(&outcome, RefusalReason::Failed),
         "{outcome:?}"
@@ -287,8 +287,8 @@
     let root = listener.local_addr().expect("bound");
     let own = gateway(VERSION, free_address());
     set_roots(&own, [root; 2]);
-    let outcome = tokio::time::timeout(WAITS, ask(&own, &search())).await;
-    let outcome = outcome.expect("given up in time");
+    let outcome = tokio::time::timeout(TIME_LEFT, run_at_root(&own, &search())).await;
+    let outcome = outcome.expect("abandoned in time");
     assert!(
         is_refused_as(&outcome, RefusalReason::Failed),
         "{outcome:?}"
@@ -298,8 +298,8 @@
 
 #[tokio::test]
 async fn a_caller_that_leaves_does_not_keep_its_probe_at_a_root_open() {
-    // Regression: the probe stayed open for good, and the root was avoided until its process was a new
-    // one.
+    // Regression: the probe stayed open for ever, and the root was avoided until its process was
+    // restarted.
     let listeners = [
         TcpListener::bind("127.0.0.1:0").await.expect("binds"),
         TcpListener::bind("127.0.0.1:0").await.expect("binds"),
@@ -312,16 +312,19 @@
             .map(|listener| listener.local_addr().expect("bound")),
     );
     let zone = &own.settings.zone;
-    // Which root is chosen is chance; in so many turns both are.
+    // The choice is random; in this many iterations both roots are chosen.
     for _ in 0..100 {
-        let root = own.roots.choose(Clock.now(), zone).expect("a root is due");
+        let root = own
+            .roots
+            .choose(Clock.now(), zone)
+            .expect("a root is available");
         root.on_overdue(Clock.now(), Duration::ZERO);
     }
     for _ in 0..2 {
         let root = own.roots.choose(Clock.now(), zone);
         let root = root.expect("a root can be probed");
-        let query = ForwardedQuery::new("c", VERSION, "h", &request(), Duration::ZERO, WAITS);
-        let asking = root.ask(query, WAITS);
+        let query = ForwardedQuery::new("c", VERSION, "h", &request(), Duration::ZERO, TIME_LEFT);
+        let asking = root.forward(query, TIME_LEFT);
         let caller_leaves = tokio::time::timeout(OBJECTIVE, asking).await;
         assert!(caller_leaves.is_err(), "the root answers nothing");
     }
@@ -348,7 +351,7 @@
         let reply = ForwardedReply::new(Outcome::Refused(refusal.clone()));
         let outcome = reply.into_outcome();
         prop_assert!(
-            matches!(&outcome, Some(Outcome::Refused(came)) if *came == refusal),
+            matches!(&outcome, Some(Outcome::Refused(received)) if *received == refusal),
             "{:?}", outcome
         );
     }
@@ -365,14 +368,14 @@
         let header = HeaderValue::from_str(&value).expect("a value");
         request.headers.append("first", header.clone());
         request.headers.append("first", HeaderValue::from_static("again"));
-        let query = ForwardedQuery::new("c", 1, "h", &request, OBJECTIVE, WAITS);
+        let query = ForwardedQuery::new("c", 1, "h", &request, OBJECTIVE, TIME_LEFT);
         prop_assert_eq!(query.path(), request.uri.path());
-        prop_assert_eq!(query.held(), OBJECTIVE);
-        let came = query.into_request().expect("a request");
-        prop_assert_eq!(came.uri, request.uri);
-        prop_assert_eq!(came.headers, request.headers);
-        prop_assert_eq!(came.body, request.body);
-        prop_assert_eq!(came.id, request.id);
+        prop_assert_eq!(query.elapsed(), OBJECTIVE);
+        let received = query.into_request().expect("a request");
+        prop_assert_eq!(received.uri, request.uri);
+        prop_assert_eq!(received.headers, request.headers);
+        prop_assert_eq!(received.body, request.body);
+        prop_assert_eq!(received.id, request.id);
     }
 
     #[test]
