--- a/crates/tansylead-gateway/src/checked_file.rs
+++ b/crates/tansylead-gateway/src/checked_file.rs
@@ -1,4 +1,4 @@
-//! Files of settings and routes: read whole, parsed strictly.
+//! Reads settings and routes files, with strict parsing.
 
 use serde::de::DeserializeOwned;
 use std::path::Path;
--- a/crates/tansylead-gateway/src/clock.rs
+++ b/crates/tansylead-gateway/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock that decides, and waits that follow it. The time of day decides nothing here: it jumps on some
-//! machines.
+//! The clock on which all decisions are based, and waits that follow it. Wall-clock time is not used for
+//! decisions: it jumps on some machines.
 //!
-//! A machine may be suspended for seconds. This clock counts that time, so that everything remembered is as old
-//! as it is for the others; the timers of the runtime do not, so waits are looked at again once it is noticed.
+//! A machine may be suspended for seconds. This clock counts that time, so that stored data has the same age as
+//! at other daemons. The timers of the runtime do not count it, so waits are re-evaluated after a suspension.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::future::Future;
@@ -13,8 +13,8 @@
 
 const NANOS_PER_MICRO: i64 = 1_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// A task that is this much later than its timer says that the process did not run: well above what a busy
-/// processor causes, well below the times for which daemons rely on what they know.
+/// A task that wakes up this much later than its timer shows that the process did not run: well above the delays
+/// of a busy processor, well below the times for which daemons rely on the data they hold.
 const PAUSE_LIMIT: Duration = Duration::from_secs(1);
 
 thread_local! {
@@ -22,16 +22,16 @@
     static RESUMED: Rc<Notify> = Rc::default();
 }
 
-/// Reads the clock, which goes on while the machine is suspended.
+/// Reads the clock, which continues while the machine is suspended.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clock;
 
-/// A wait that ended without what was waited for.
+/// The deadline has passed before the future completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TimeIsUp;
+pub struct DeadlineElapsed;
 
 impl Clock {
-    /// Now.
+    /// The current moment.
     pub fn now(self) -> Moment {
         let time = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
@@ -44,11 +44,11 @@
         moment.since(self.now())
     }
 
-    /// Waits until a moment, also if the machine is suspended meanwhile.
+    /// Waits until a moment, also if the machine is suspended in between.
     pub async fn sleep_until(self, moment: Moment) {
         loop {
             let left = self.time_left(moment);
-            if wait(left).await == Wait::Whole {
+            if wait(left).await == Wait::Elapsed {
                 return;
             }
         }
@@ -59,17 +59,17 @@
         self,
         moment: Moment,
         future: F,
-    ) -> Result<F::Output, TimeIsUp> {
+    ) -> Result<F::Output, DeadlineElapsed> {
         tokio::select! {
             biased;
             output = future => Ok(output),
-            () = self.sleep_until(moment) => Err(TimeIsUp),
+            () = self.sleep_until(moment) => Err(DeadlineElapsed),
         }
     }
 
-    /// Notes how late a task is by this clock. Returns whether the process did not run meanwhile; waits are
-    /// looked at again then.
-    pub fn note_lag(self, lag: Duration) -> bool {
+    /// Records how late a task woke up by this clock. Returns whether the process did not run meanwhile; if so,
+    /// all waits are re-evaluated.
+    pub fn record_lag(self, lag: Duration) -> bool {
         let is_pause = lag >= PAUSE_LIMIT;
         if is_pause {
             RESUMED.with(|resumed| resumed.notify_waiters());
@@ -81,8 +81,8 @@
 /// How a wait on the runtime's timers ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Wait {
-    Whole,
-    /// The process did not run for a while: less may be left than the timer thinks.
+    Elapsed,
+    /// The process did not run for a while: less time may be left than on the timer.
     Resumed,
 }
 
@@ -90,7 +90,7 @@
     let resumed = RESUMED.with(Rc::clone);
     tokio::select! {
         biased;
-        () = tokio::time::sleep(time) => Wait::Whole,
+        () = tokio::time::sleep(time) => Wait::Elapsed,
         () = resumed.notified() => Wait::Resumed,
     }
 }
--- a/crates/tansylead-gateway/src/cluster/peer_server.rs
+++ b/crates/tansylead-gateway/src/cluster/peer_server.rs
@@ -108,7 +108,7 @@
     tokio::select! {
         reply = run_forwarded(gateway, query, peer) => reply,
         // The forwarding daemon sends nothing before it has its reply.
-        _ = frames.next() => Err(StepError::new("run forwarded query", peer, "its daemon has disconnected")),
+        _ = frames.next() => Err(StepError::new("run forwarded query", peer, "its daemon has gone")),
     }
 }
 
--- a/crates/tansylead-gateway/src/cluster/source_feed.rs
+++ b/crates/tansylead-gateway/src/cluster/source_feed.rs
@@ -236,7 +236,7 @@
 
     fn apply(&self, update: SourceUpdate) {
         let metrics = &self.gateway.metrics;
-        metrics.add_bad_input(BadInput::SourceEntry, update.passed_over);
+        metrics.add_bad_input(BadInput::SourceEntry, update.skipped);
         match update.content {
             SourceContent::Configuration(Some(configuration)) => {
                 self.gateway.apply_configuration(*configuration);
--- a/crates/tansylead-gateway/src/daemon.rs
+++ b/crates/tansylead-gateway/src/daemon.rs
@@ -21,19 +21,19 @@
 
 /// Share of the time for a planned stop after which idle connections are closed.
 const CLOSING_SHARE: f64 = 0.5;
-/// Share of that time after which everything open gets its final answer.
+/// Share of that time after which all open requests get their final answer.
 const ENDING_SHARE: f64 = 0.9;
 /// Time in which final answers reach their callers.
 const FLUSH_TIME: Duration = Duration::from_millis(150);
-/// Period at which the end of a planned stop is looked for.
+/// Period at which a planned stop checks whether anything is still in use.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// Period at which the settings file is read again.
 const RELOAD_PERIOD: Duration = Duration::from_secs(5);
 /// Period at which the lag of tasks is measured.
 const LAG_PERIOD: Duration = Duration::from_millis(250);
-/// Lags above this are told.
+/// Lags above this are logged.
 const LAG_TOLERANCE: Duration = Duration::from_millis(40);
-/// Period at which idle connections are looked at.
+/// Period at which idle connections are checked.
 const SWEEP_PERIOD: Duration = Duration::from_millis(500);
 
 /// Why a daemon could not start.
@@ -74,7 +74,7 @@
     let mut terminate = signal(SignalKind::terminate()).wrap_err("watch for SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("watch for SIGINT")?;
     let gateway = Rc::new(Gateway::new(settings, names));
-    let view = Rc::new(make_view(&gateway.settings)?);
+    let view = Rc::new(new_view(&gateway.settings)?);
     start(&gateway, &view, Rc::new(source)).await?;
     spawn_local(reload_on_signal(Rc::clone(&view), reload));
     log::info!(address:% = gateway.settings.caller_address, zone = gateway.settings.zone.as_str(); "started");
@@ -94,7 +94,7 @@
     })
 }
 
-fn make_view(settings: &GatewaySettings) -> Result<ClusterView, RunError> {
+fn new_view(settings: &GatewaySettings) -> Result<ClusterView, RunError> {
     let regions: BTreeSet<&PlaceName> = settings.regions.values().collect();
     Ok(ClusterView::new(
         NodeId(settings.peer_address),
@@ -173,7 +173,7 @@
     }
 }
 
-/// Tells when tasks wait long for the processor: then everything here is late.
+/// Logs when tasks wait long for the processor: then everything in this process is late.
 async fn watch_lag(gateway: Rc<Gateway>, view: Rc<ClusterView>) {
     loop {
         let due = Clock.now() + LAG_PERIOD;
@@ -183,7 +183,7 @@
         if lag > LAG_TOLERANCE {
             log::warn!(lag_ms = lag.as_millis() as u64; "tasks wait for the processor");
         }
-        let is_resumed = Clock.note_lag(lag);
+        let is_resumed = Clock.record_lag(lag);
         gateway.quarantine.tick(Clock.now());
         if is_resumed {
             log::warn!(paused_ms = lag.as_millis() as u64; "did not run");
@@ -193,7 +193,7 @@
     }
 }
 
-/// Reads the settings again on SIGHUP, and now and then: the file may change without a signal.
+/// Reads the settings again on SIGHUP and periodically: the file may change without a signal.
 async fn reload_on_signal(
     view: Rc<ClusterView>,
     reload: impl Fn() -> eyre::Result<GatewaySettings>,
@@ -203,7 +203,7 @@
     };
     let mut seeds = Vec::new();
     loop {
-        let signalled = tokio::select! {
+        let is_signalled = tokio::select! {
             _ = hangup.recv() => true,
             () = tokio::time::sleep(RELOAD_PERIOD) => false,
         };
@@ -213,14 +213,14 @@
                 view.set_seeds(seeds.clone());
                 log::info!(seeds = seeds.len(); "settings read again");
             }
-            Ok(_) if signalled => log::info!("settings read again"),
+            Ok(_) if is_signalled => log::info!("settings read again"),
             Ok(_) => {}
             Err(error) => log::warn!(error:% = format!("{error:#}"); "settings kept"),
         }
     }
 }
 
-/// A planned stop: not ready at once, serving on, closing idle connections, and ending in time.
+/// A planned stop: reports not ready at once, continues to serve, closes idle connections, and ends in time.
 async fn stop(gateway: &Gateway) {
     let limit = gateway.settings.bounds.stop_limit();
     let started = Clock.now();
--- a/crates/tansylead-gateway/src/headers.rs
+++ b/crates/tansylead-gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers between callers, daemons and leafs. Their names are settings; what they mean is fixed.
+//! Headers between callers, daemons and leafs. Their names are configurable; their meaning is fixed.
 
 use hyper::HeaderMap;
 use hyper::StatusCode;
@@ -9,18 +9,18 @@
 use std::time::Duration;
 use tansylead_types::LeafId;
 
-/// Names of the headers that carry more than the callers' own data.
+/// Names of the headers that this protocol adds to the callers' own data.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Identity of one attempt of a caller; every answer to it carries it back.
+    /// Identity of one attempt of a caller; every answer to it echoes it.
     pub request: HeaderName,
-    /// Milliseconds the sender will wait.
+    /// Milliseconds for which the sender will wait.
     pub time_left: HeaderName,
     /// Run of the leaf that the request is meant for; any other leaf refuses it.
     pub leaf: HeaderName,
     /// A leaf's proof that it ran the request.
     pub signature: HeaderName,
-    /// A leaf's word that it did not run the request.
+    /// Statement of a leaf that it did not run the request.
     pub not_run: HeaderName,
     /// Signatures of the parts of a merged answer.
     pub parts: HeaderName,
@@ -44,26 +44,26 @@
     }
 }
 
-/// The time that a caller says it will wait is no number of milliseconds.
+/// The time for which a caller says that it will wait is not a number of milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the caller's time is no number of milliseconds")]
 pub struct BadTimeLeft;
 
-/// What a leaf's answer says of the request it answers.
+/// What a leaf's answer says about the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeafWord {
+pub enum AnswerKind {
     /// The leaf answered this request.
     Answered,
     /// The leaf did not run it.
     NotRun,
-    /// Another run of a leaf listens at the address; it did not run the request.
+    /// A different run of a leaf listens at the address; it did not run the request.
     OtherLeaf,
     /// The answer belongs to another request, or to none.
     Foreign,
 }
 
 impl HeaderNames {
-    /// The caller's time left; none if it is absent or no number.
+    /// The caller's time left; none if the header is absent.
     pub fn time_left(&self, headers: &HeaderMap) -> Result<Option<Duration>, BadTimeLeft> {
         let Some(value) = headers.get(&self.time_left) else {
             return Ok(None);
@@ -73,7 +73,7 @@
         Ok(Some(Duration::from_millis(millis)))
     }
 
-    /// Writes what a leaf needs to know of one attempt.
+    /// Sets the headers of one attempt at a leaf.
     pub fn set_attempt(&self, headers: &mut HeaderMap, leaf: &LeafId, time_left: Duration) {
         let millis = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(&self.time_left, HeaderValue::from(millis));
@@ -82,30 +82,30 @@
         }
     }
 
-    /// What a leaf's answer to `request` says.
-    pub fn leaf_word(
+    /// Classifies a leaf's answer to `request`.
+    pub fn classify_answer(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
         request: Option<&HeaderValue>,
-    ) -> LeafWord {
+    ) -> AnswerKind {
         let echoed = headers.get(&self.request);
         if echoed.is_some() && echoed != request {
-            return LeafWord::Foreign;
+            return AnswerKind::Foreign;
         }
         if status == StatusCode::MISDIRECTED_REQUEST {
-            return LeafWord::OtherLeaf;
+            return AnswerKind::OtherLeaf;
         }
         if headers.contains_key(&self.not_run) {
-            return LeafWord::NotRun;
+            return AnswerKind::NotRun;
         }
         if echoed.is_none() && request.is_some() {
-            return LeafWord::Foreign;
+            return AnswerKind::Foreign;
         }
-        LeafWord::Answered
+        AnswerKind::Answered
     }
 
-    /// Writes what a merged answer consists of.
+    /// Sets the headers that describe the parts of a merged answer.
     pub fn set_parts(&self, headers: &mut HeaderMap, signatures: &[HeaderValue], missing: usize) {
         let mut joined = Vec::new();
         for signature in signatures {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Writes when the caller should come back.
+/// Sets the header that says when the caller should retry.
 pub fn set_retry_after(headers: &mut HeaderMap, wait: Duration) {
     let text = format!("{:.3}", wait.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&text) {
--- a/crates/tansylead-gateway/src/leaf/attempt.rs
+++ b/crates/tansylead-gateway/src/leaf/attempt.rs
@@ -6,7 +6,7 @@
 use super::idle_connections::LeafConnection;
 use super::leaf_state::LeafState;
 use crate::clock::Clock;
-use crate::headers::{HeaderNames, LeafWord};
+use crate::headers::{AnswerKind, HeaderNames};
 use crate::roll_out::{SendEnd, SendTerms};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -206,9 +206,9 @@
     connection: HttpConnection,
     reply: Reply,
 ) -> AttemptEnd {
-    match names.leaf_word(reply.status, &reply.headers, request.id.as_ref()) {
-        LeafWord::Foreign => AttemptEnd::Foreign(step_error(leaf, "answer to another request")),
-        LeafWord::OtherLeaf => {
+    match names.classify_answer(reply.status, &reply.headers, request.id.as_ref()) {
+        AnswerKind::Foreign => AttemptEnd::Foreign(step_error(leaf, "answer to another request")),
+        AnswerKind::OtherLeaf => {
             leaf.set_replaced();
             AttemptEnd::Refused(reply)
         }
@@ -217,7 +217,7 @@
                 leaf.give_back(connection, idle_limit(&reply.headers));
             }
             match word {
-                LeafWord::NotRun => AttemptEnd::Refused(reply),
+                AnswerKind::NotRun => AttemptEnd::Refused(reply),
                 _ => AttemptEnd::Answered(reply),
             }
         }
--- a/crates/tansylead-gateway/src/lib.rs
+++ b/crates/tansylead-gateway/src/lib.rs
@@ -1,12 +1,11 @@
-//! I/O shell of routed requests.
+//! I/O layer of routed requests.
 //!
-//! One thread runs everything: the machines it is made for have a fraction of one core and little
-//! memory. Decisions are in `tansylead-route` (requests) and `tansylead-cluster` (membership);
+//! One thread runs everything: the target machines have a fraction of one core and little memory. Decisions are in `tansylead-route` (requests) and `tansylead-cluster` (membership);
 //! this crate owns sockets, clocks and tasks.
 //!
-//! The way of a request: `caller::server` accepts, `caller::handler` finds the route and admits,
-//! `execution::forward` or `execution::gather` runs it through `execution::call`, which gives one
-//! answer of one service out of one or more attempts (`leaf::attempt`).
+//! The path of a request: `caller::server` accepts it, `caller::handler` finds the route and admits it,
+//! `execution::forward` or `execution::gather` runs it through `execution::call`, which obtains one
+//! answer of one service from one or more attempts (`leaf::attempt`).
 
 mod checked_file;
 mod clock;
--- a/crates/tansylead-gateway/src/listener.rs
+++ b/crates/tansylead-gateway/src/listener.rs
@@ -6,10 +6,10 @@
 use tansylead_types::{Moment, StepError};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept (for example: no file descriptors left).
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Failed accepts come in rows; one line in this time tells of them.
-const TOLD_PERIOD: Duration = Duration::from_secs(1);
+/// Delay after a failed accept (for example: no file descriptors left).
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Failed accepts come in series, which are logged at most once in this time.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Binds an address; `step` says what for.
 pub(crate) async fn bind(
@@ -21,29 +21,29 @@
         .map_err(|cause| StepError::new(step, address, cause))
 }
 
-/// Hands each connection to `serve`, until the task is ended.
+/// Passes each accepted connection to `serve`, until the task is ended.
 pub(crate) async fn accept_each(
     listener: TcpListener,
     mut serve: impl FnMut(TcpStream, SocketAddr),
 ) {
-    let mut told_at = None;
+    let mut logged_at = None;
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => serve(stream, peer),
             Err(error) => {
-                note_failed_accept(&error, &mut told_at);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log_failed_accept(&error, &mut logged_at);
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Tells that connections cannot be accepted, once in a while.
-fn note_failed_accept(error: &std::io::Error, told_at: &mut Option<Moment>) {
+/// Logs that connections cannot be accepted, at a limited rate.
+fn log_failed_accept(error: &std::io::Error, logged_at: &mut Option<Moment>) {
     let now = Clock.now();
-    if told_at.is_some_and(|told_at| now.since(told_at) < TOLD_PERIOD) {
+    if logged_at.is_some_and(|logged_at| now.since(logged_at) < LOG_INTERVAL) {
         return;
     }
-    *told_at = Some(now);
+    *logged_at = Some(now);
     log::warn!(error:% = error; "connections cannot be accepted");
 }
--- a/crates/tansylead-gateway/src/log_queue.rs
+++ b/crates/tansylead-gateway/src/log_queue.rs
@@ -1,40 +1,40 @@
 //! A bounded queue of log lines and the thread that writes them.
 //!
-//! Queueing never waits: lines that do not fit are dropped, and the caller is told.
+//! Adding a line never waits: lines that do not fit are dropped, and the caller gets an error.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Duration;
 
-/// Lines waiting to be written.
+/// Maximum number of lines waiting to be written.
 const QUEUED_LINES: usize = 512;
 /// Stack of the writing thread, in bytes.
 const WRITER_STACK_BYTES: usize = 64 * 1024;
-/// Longest wait for the last lines at the end of the process.
+/// Time limit for writing the last lines at the end of the process.
 const LAST_LINES_LIMIT: Duration = Duration::from_millis(200);
 
-/// What the writing thread takes from the queue.
+/// Entries of the queue.
 #[derive(Debug)]
 enum Entry {
     /// A line to write.
     Line(String),
-    /// Everything queued before has been written: tell the sender.
+    /// Signal this sender once everything queued before has been written.
     Written(SyncSender<()>),
 }
 
-/// The queue; clones feed the same thread.
+/// The sending side of the queue; all clones use the same writing thread.
 #[derive(Debug, Clone)]
 pub struct LogQueue {
     sender: SyncSender<Entry>,
 }
 
-/// A line did not fit, or nothing writes lines any more.
+/// The queue is full, or the writing thread has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the line was dropped")]
 pub struct LineDropped;
 
-/// Keeps the last lines of a process: when dropped, waits until what is queued has been written,
-/// for 200 ms at most.
+/// Flushes the last lines of a process: when dropped, waits until everything queued has been written,
+/// for at most 200 ms.
 #[derive(Debug)]
 #[must_use = "the last lines are lost if it is dropped at once"]
 pub struct LastLines {
@@ -52,13 +52,13 @@
         Ok(Self { sender })
     }
 
-    /// Queues a line, with its end.
+    /// Queues a line, which includes its newline.
     pub fn push(&self, line: String) -> Result<(), LineDropped> {
         let queued = self.sender.try_send(Entry::Line(line));
         queued.map_err(|_| LineDropped)
     }
 
-    /// Keeps the lines that are queued when the process ends.
+    /// A guard that flushes the queued lines when the process ends.
     pub fn last_lines(&self) -> LastLines {
         LastLines {
             queue: self.clone(),
@@ -70,7 +70,7 @@
     fn drop(&mut self) {
         let (written, all_written) = sync_channel(1);
         if self.queue.sender.try_send(Entry::Written(written)).is_ok() {
-            // An output that takes nothing must not hold up the end of the process.
+            // A blocked output must not delay the end of the process.
             let _ = all_written.recv_timeout(LAST_LINES_LIMIT);
         }
     }
--- a/crates/tansylead-gateway/src/logging.rs
+++ b/crates/tansylead-gateway/src/logging.rs
@@ -1,9 +1,9 @@
 //! Structured log lines on standard output.
 //!
-//! One JSON object a line. Lines pass through a bounded queue to a thread of their own, so that
-//! writing never holds up a request; lines that do not fit are dropped and counted. Each kind of
-//! line is limited in number; how many were suppressed is told. Lines of single requests have
-//! limits of their own (`request_log`).
+//! One JSON object per line. Lines pass through a bounded queue to a dedicated thread, so that
+//! writing never delays a request; lines that do not fit are dropped and counted. Each kind of line is
+//! rate-limited, and the number of suppressed lines is logged. Lines of single requests have their own
+//! limits (`request_log`).
 
 use crate::clock::Clock;
 use crate::log_queue::{LastLines, LogQueue};
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Target of the lines of single requests; their number is limited where they are written.
+/// Target of the lines of single requests; `request_log` limits their rate.
 pub const REQUEST_TARGET: &str = "request";
 /// Lines of one kind written in a second; errors are not limited.
 pub const LINES_PER_SECOND: u32 = 20;
@@ -32,7 +32,7 @@
     SUPPRESSED_LINES.load(Ordering::Relaxed)
 }
 
-/// Counts lines that were not written for their number.
+/// Counts lines that were not written because there were too many.
 pub(crate) fn count_suppressed(lines: u64) {
     SUPPRESSED_LINES.fetch_add(lines, Ordering::Relaxed);
 }
@@ -52,7 +52,7 @@
     Ok(last_lines)
 }
 
-/// Lines of one kind in the present second.
+/// Number of lines of one kind in the current second.
 #[derive(Debug, Clone, Copy, Default)]
 struct KindLimit {
     second: u64,
@@ -61,7 +61,7 @@
 }
 
 impl KindLimit {
-    /// Whether one more line may be written, and how many were suppressed before.
+    /// Number of lines that were suppressed before, if one more may be written; none otherwise.
     fn admit(&mut self, second: u64) -> Option<u64> {
         let mut before = 0;
         if self.second != second {
@@ -85,9 +85,9 @@
 fn queue_record(queue: &LogQueue, limits: &KindLimits, record: &log::Record<'_>) {
     let now = Clock.now();
     let event = record.args().to_string();
-    let unlimited = record.target() == REQUEST_TARGET || record.level() == log::Level::Error;
+    let is_unlimited = record.target() == REQUEST_TARGET || record.level() == log::Level::Error;
     let mut suppressed = 0;
-    if !unlimited {
+    if !is_unlimited {
         let mut limits = limits.lock();
         let limit = limits.entry(event.clone()).or_default();
         match limit.admit(now.0 / MICROS_PER_SECOND) {
--- a/crates/tansylead-gateway/src/per_second.rs
+++ b/crates/tansylead-gateway/src/per_second.rs
@@ -1,11 +1,11 @@
-//! A bound on how often something is done within a second.
+//! A limit on how often something is done within a second.
 
 use std::cell::Cell;
 use tansylead_types::Moment;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Counts what was done in the present second.
+/// Counts how often something was done in the current second.
 #[derive(Debug)]
 pub(crate) struct PerSecondLimit {
     limit: u32,
@@ -14,7 +14,7 @@
 }
 
 impl PerSecondLimit {
-    /// At most `limit` times a second.
+    /// A limit of `limit` times a second.
     pub(crate) fn new(limit: u32) -> Self {
         Self {
             limit,
@@ -23,16 +23,16 @@
         }
     }
 
-    /// Whether it may be done once more now; counts it if so.
+    /// Returns whether it may be done once more now, and counts it if so.
     pub(crate) fn try_take(&self, now: Moment) -> bool {
         let second = now.0 / MICROS_PER_SECOND;
         if self.second.replace(second) != second {
             self.done.set(0);
         }
-        let is_free = self.done.get() < self.limit;
-        if is_free {
+        let is_allowed = self.done.get() < self.limit;
+        if is_allowed {
             self.done.set(self.done.get() + 1);
         }
-        is_free
+        is_allowed
     }
 }
--- a/crates/tansylead-gateway/src/report_queue.rs
+++ b/crates/tansylead-gateway/src/report_queue.rs
@@ -1,4 +1,4 @@
-//! Reports on leafs that wait to be sent to other daemons. Bounded: what is too much is dropped.
+//! Bounded queue of reports on leafs to send to other daemons. Reports beyond the bound are dropped.
 
 use crate::clock::Clock;
 use crate::per_second::PerSecondLimit;
@@ -6,10 +6,10 @@
 use tansylead_route::LeafReport;
 use tokio::sync::Notify;
 
-/// Reports sent in a second, at most.
+/// Maximum number of reports sent in a second.
 const REPORTS_PER_SECOND: u32 = 50;
 
-/// The queue.
+/// Reports that wait to be sent.
 #[derive(Debug)]
 pub(crate) struct ReportQueue {
     reports: RefCell<Vec<LeafReport>>,
@@ -28,7 +28,7 @@
 }
 
 impl ReportQueue {
-    /// Adds a report. Returns whether it will be sent: not if too many were in this second.
+    /// Adds a report. Returns whether it will be sent: not if there were too many in this second.
     pub(crate) fn add(&self, report: LeafReport) -> bool {
         if !self.limit.try_take(Clock.now()) {
             return false;
@@ -43,7 +43,7 @@
         self.added.notified().await;
     }
 
-    /// Takes all reports out.
+    /// Removes and returns all reports.
     pub(crate) fn take(&self) -> Vec<LeafReport> {
         self.reports.take()
     }
--- a/crates/tansylead-gateway/src/routes_file.rs
+++ b/crates/tansylead-gateway/src/routes_file.rs
@@ -1,8 +1,8 @@
-//! Routes, services, leafs and roll-outs in a file of the product's own form: the gateway without a
-//! platform.
+//! Routes, services, leafs and roll-outs in a file of the product's own format, to run the gateway without
+//! a platform.
 //!
-//! The file is looked at every half second; a greater version is taken in, anything that cannot be
-//! used is refused with its reason and changes nothing.
+//! The file is read every half second. A greater version is applied; a file that cannot be used is refused
+//! with the reason and changes nothing.
 
 mod documents;
 mod error;
@@ -24,10 +24,10 @@
 
 pub use error::RoutesFileError;
 
-/// Period at which the file is looked at.
+/// Period at which the file is read.
 const POLL_PERIOD: Duration = Duration::from_millis(500);
 
-/// What a routes file says.
+/// Contents of a routes file.
 #[derive(Debug, Clone)]
 pub struct RoutesFile {
     /// Configuration.
@@ -49,7 +49,7 @@
     }
 }
 
-/// A routes file as a source. Its version is the position of all topics.
+/// A routes file as a source. Its version is the revision of all topics.
 #[derive(Debug)]
 pub struct RoutesFileSource {
     path: PathBuf,
@@ -91,7 +91,7 @@
         Ok(SourceUpdate {
             at,
             content,
-            passed_over: 0,
+            skipped: 0,
         })
     }
 }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A file is its operator's to write.
+    /// Always refused: only the operator writes the file.
     async fn write_roll_out_state(
         &self,
         _: &RollOut,
@@ -133,7 +133,7 @@
         Ok(self.load()?.roll_outs.remove(service))
     }
 
-    /// A file registers nobody: the seeds must do.
+    /// Does nothing: with a routes file, daemons find each other through the seeds only.
     async fn register(&self, _: SocketAddr) -> Result<(), SourceError> {
         Ok(())
     }
--- a/crates/tansylead-gateway/src/routes_file/documents.rs
+++ b/crates/tansylead-gateway/src/routes_file/documents.rs
@@ -1,4 +1,4 @@
-//! The form of a routes file, and what is checked of it.
+//! The format of a routes file, and its checks.
 
 use super::roll_outs::{RollOutDocument, check_roll_outs};
 use super::{RoutesFile, RoutesFileError};
@@ -28,7 +28,7 @@
     /// Zones that are being emptied: their leafs get nothing new.
     #[serde(default)]
     evacuated_zones: BTreeSet<ZoneName>,
-    /// Services that are being moved to another version, or were.
+    /// Services that are being rolled out to another version, or were.
     #[serde(default)]
     roll_outs: Vec<RollOutDocument>,
 }
@@ -98,7 +98,7 @@
 }
 
 impl RoutesDocument {
-    /// Checks what the form of the file does not.
+    /// Checks what the format of the file does not enforce.
     pub(super) fn check(&self, path: &str) -> Result<(), RoutesFileError> {
         self.check_services(path)?;
         self.check_routes(path)?;
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    /// What the file says.
+    /// Contents of the file.
     pub(super) fn into_file(self) -> RoutesFile {
         let services = self.services.into_iter().map(|service| {
             let configured = Service {
--- a/crates/tansylead-gateway/src/routes_file/error.rs
+++ b/crates/tansylead-gateway/src/routes_file/error.rs
@@ -6,10 +6,10 @@
 /// A routes file that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum RoutesFileError {
-    /// The file cannot be read, or is no routes file.
+    /// The file cannot be read, or is not a routes file.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A route states neither services nor shards, or both.
+    /// A route lists neither services nor shards, or both.
     #[error("{path}: route {route} must state either `services` or `shards`")]
     NoTarget {
         /// File.
@@ -36,10 +36,10 @@
         path: String,
         /// Service.
         service: ServiceName,
-        /// What it is.
+        /// Its value.
         value: f64,
     },
-    /// Two routes take the same requests.
+    /// Two routes match the same requests.
     #[error("{path}: routes {first} and {second} have the same host and prefix")]
     SameRequests {
         /// File.
@@ -57,7 +57,7 @@
         /// Service.
         service: ServiceName,
     },
-    /// The time for a roll-out is not above zero, or too long to be told.
+    /// The time for a roll-out is not above zero, or too long to be represented.
     #[error(
         "{path}: duration_seconds of the roll-out of service {service} must be above zero, but is {value}"
     )]
@@ -66,7 +66,7 @@
         path: String,
         /// Service.
         service: ServiceName,
-        /// What it is.
+        /// Its value.
         value: f64,
     },
     /// Two orders to roll out are for one service.
--- a/crates/tansylead-gateway/src/routes_file/roll_outs.rs
+++ b/crates/tansylead-gateway/src/routes_file/roll_outs.rs
@@ -1,4 +1,4 @@
-//! Orders to roll out in a routes file, and what is checked of them.
+//! Orders to roll out in a routes file, and their checks.
 
 use super::RoutesFileError;
 use serde::Deserialize;
@@ -46,7 +46,7 @@
     state: StateDocument,
 }
 
-/// How far a roll-out has come.
+/// State of a roll-out.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum StateDocument {
@@ -69,19 +69,19 @@
 }
 
 impl RollOutDocument {
-    /// Time for the roll-out; none if it is not above zero.
+    /// Time for the roll-out; none if it is not above zero or too long.
     fn duration(&self) -> Option<Duration> {
         let duration = Duration::try_from_secs_f64(self.duration_seconds).ok()?;
         (!duration.is_zero()).then_some(duration)
     }
 
-    /// The order as of a version of the file; none if it was not checked. A file says nothing of when an
-    /// order was given: the same one again is the same order.
+    /// The order as of a version of the file; none if its duration is invalid. A file does not say when an order
+    /// was given, so a repeated order counts as the same one.
     pub(super) fn into_order(self, at: Revision) -> Option<RollOut> {
-        const MADE: &str = "";
+        const CREATED: &str = "";
         let duration = self.duration()?;
         Some(RollOut {
-            order: OrderId::new(&self.service, &self.target, duration, MADE),
+            order: OrderId::new(&self.service, &self.target, duration, CREATED),
             service: self.service,
             target: self.target,
             duration,
--- a/crates/tansylead-gateway/src/settings.rs
+++ b/crates/tansylead-gateway/src/settings.rs
@@ -23,7 +23,7 @@
     pub regions: BTreeMap<ZoneName, PlaceName>,
     /// Where callers connect.
     pub caller_address: SocketAddr,
-    /// Where load balancers ask whether the daemon takes callers.
+    /// Where load balancers check whether the daemon accepts callers.
     pub ready_address: SocketAddr,
     /// UDP and TCP address for other daemons.
     pub peer_address: SocketAddr,
@@ -38,11 +38,11 @@
     /// Time limits and budgets.
     #[serde(default)]
     pub bounds: GatewayBounds,
-    /// Processor of this machine, in cores.
+    /// Processor capacity of this machine, in cores.
     #[serde(default = "one_core")]
     pub processor_cores: f64,
     /// Whether the larger machines of a region run queries over shards for the others. All daemons of
-    /// a deployment must be set alike.
+    /// a deployment must have the same value.
     #[serde(default = "yes")]
     pub queries_at_roots: bool,
 }
@@ -63,7 +63,7 @@
     pub stop_limit_seconds: f64,
     /// A change of the configuration must be in force this soon after it was accepted.
     pub configuration_limit_millis: f64,
-    /// A leaving leaf must get nothing new this long after it said so.
+    /// A leaving leaf must get nothing new this long after it announced that it leaves.
     pub leaving_limit_millis: f64,
     /// Whether zones can be emptied in this deployment; if not, the source is not asked for it.
     pub follow_evacuations: bool,
@@ -71,18 +71,18 @@
     /// accepted.
     pub evacuation_limit_millis: f64,
     /// Whether services can be rolled out in this deployment; if not, the source is not asked for it, and the
-    /// versions of leafs mean nothing.
+    /// versions of leafs are ignored.
     pub follow_roll_outs: bool,
-    /// Sends to a version under trial, as a share of the requests to its service from the order to its
-    /// deadline, of all daemons together.
+    /// Maximum number of sends to a version under trial, as a share of the requests to its service from the order
+    /// to its deadline, over all daemons.
     pub exposure_share: f64,
-    /// Sends to a version under trial beyond that share, of all daemons together.
+    /// Sends to a version under trial that are allowed beyond that share, over all daemons.
     pub exposure_slack: f64,
-    /// A bad version must get nothing this long after its answers have shown it.
+    /// A bad version must get nothing this long after its answers have shown that it is bad.
     pub roll_back_limit_millis: f64,
     /// Extra attempts allowed for each request to a service.
     pub retry_ratio: f64,
-    /// Extra attempts allowed beyond the ratio, of all daemons together.
+    /// Extra attempts allowed beyond the ratio, over all daemons.
     pub retry_slack: f64,
     /// Window over which extra attempts are counted.
     pub retry_window_seconds: f64,
@@ -110,7 +110,7 @@
 /// Settings that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file cannot be read, or is no settings file.
+    /// The file cannot be read, or is not a settings file.
     #[error(transparent)]
     File(#[from] FileError),
     /// A value is out of range.
@@ -120,9 +120,9 @@
         path: String,
         /// Field.
         field: &'static str,
-        /// What it must be.
+        /// Required range.
         expected: &'static str,
-        /// What it is.
+        /// Its value.
         value: f64,
     },
     /// The daemon's zone is in no region.
--- a/crates/tansylead-gateway/src/source.rs
+++ b/crates/tansylead-gateway/src/source.rs
@@ -1,4 +1,4 @@
-//! Where configuration, leafs and evacuations come from, as the gateway sees it.
+//! The interface to the source of configuration, leafs, evacuations and roll-outs.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 pub use tansylead_route::WriteEnd;
 
-/// What is read from the source; each topic is read on its own.
+/// Kinds of data in the source; each topic is read separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
     /// Routes, services and limits.
@@ -48,12 +48,12 @@
 /// What a read or a watch found.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SourceUpdate {
-    /// Position up to which the topic is known now; a watch goes on from here.
+    /// Revision up to which the topic is known now; the next watch starts after it.
     pub at: Revision,
     /// What was found.
     pub content: SourceContent,
-    /// Entries that could not be understood and were passed over.
-    pub passed_over: u64,
+    /// Number of entries that could not be parsed and were skipped.
+    pub skipped: u64,
 }
 
 /// Contents of an update.
@@ -78,13 +78,13 @@
     /// The source refuses for now.
     #[error("refused: {0}")]
     Refused(StepError),
-    /// No answer, or none that can be understood.
+    /// No answer, or none that can be parsed.
     #[error("no answer: {0}")]
     Failed(StepError),
 }
 
 impl SourceError {
-    /// What the error says of a conditional write.
+    /// What the error says about the result of a conditional write.
     pub fn write_failure(&self) -> WriteFailure {
         match self {
             SourceError::Refused(_) => WriteFailure::Refused,
@@ -95,7 +95,7 @@
 
 /// A source of configuration, leafs, evacuations and roll-outs with versions and watches.
 pub trait Source: 'static {
-    /// Reads a topic whole.
+    /// Reads a topic completely.
     fn read(
         &self,
         topic: Topic,
@@ -118,7 +118,7 @@
         state: RollOutState,
     ) -> impl Future<Output = Result<WriteEnd, SourceError>>;
 
-    /// Reads the order for one service as it stands now; none if there is none.
+    /// Reads the current order for one service; none if there is none.
     fn read_roll_out(
         &self,
         service: &ServiceName,
@@ -128,7 +128,7 @@
     /// Registering again changes nothing.
     fn register(&self, peer: SocketAddr) -> impl Future<Output = Result<(), SourceError>>;
 
-    /// Keeps that a request is quarantined; keeping it again changes nothing.
+    /// Stores that a request is quarantined; storing it again changes nothing.
     fn keep_quarantined(
         &self,
         _fingerprint: RequestFingerprint,
@@ -136,7 +136,7 @@
         async { Ok(()) }
     }
 
-    /// Forgets that a request is quarantined, if that is kept.
+    /// Removes a stored quarantine of a request, if there is one.
     fn release_quarantined(
         &self,
         _fingerprint: RequestFingerprint,
@@ -144,7 +144,7 @@
         async { Ok(()) }
     }
 
-    /// The requests that are kept as quarantined. A source that keeps nothing has none.
+    /// The requests that are stored as quarantined; empty for a source that stores none.
     fn quarantined(
         &self,
         _freshness: Freshness,
@@ -152,8 +152,8 @@
         async { Ok(Vec::new()) }
     }
 
-    /// When the source last answered a call of this daemon, also one of the several that a read may take; none if
-    /// that is not known.
+    /// When the source last answered a call of this daemon, including each of the calls of which a read may consist;
+    /// none if that is not known.
     fn last_answer(&self) -> Option<Moment> {
         None
     }
--- a/crates/tansylead-gateway/tests/files.rs
+++ b/crates/tansylead-gateway/tests/files.rs
@@ -1,4 +1,4 @@
-//! Settings and routes files: what is taken, and what is refused with its reason.
+//! Settings and routes files: which are accepted, and which are refused with a reason.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -13,7 +13,7 @@
     root.join(name)
 }
 
-/// Writes the example with one text replaced and gives the path.
+/// Writes the example with one text replaced and returns the path.
 fn changed(folder: &Path, name: &str, from: &str, to: &str) -> PathBuf {
     let text = std::fs::read_to_string(example(name)).expect("example is there");
     assert!(text.contains(from), "{from} is not in {name}");
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test]
-async fn a_routes_file_tells_its_orders_and_is_written_by_its_operator_only() {
+async fn a_routes_file_lists_its_orders_and_is_written_by_its_operator_only() {
     let source = RoutesFileSource::new(example("routes.toml"));
     let update = source.read(Topic::RollOuts, Freshness::Current).await;
     let SourceContent::RollOuts(Some(orders)) = update.expect("read").content else {
--- a/crates/tansylead-gateway/tests/log_queue.rs
+++ b/crates/tansylead-gateway/tests/log_queue.rs
@@ -1,10 +1,10 @@
-//! Lines of the log: never waiting, and whole at the end of the process.
+//! The log queue never blocks, and is flushed at the end of the process.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex};
 use tansylead_gateway::log_queue::LogQueue;
 
-/// An output that takes each piece only after it was opened, as a full pipe does.
+/// An output that blocks until it is opened, as a full pipe does.
 #[derive(Clone, Default)]
 struct Gate {
     opened: Arc<(Mutex<bool>, Condvar)>,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_output_that_takes_nothing_holds_nobody_up() {
+fn a_blocked_output_delays_nobody() {
     let output = Gate::default();
     let queue = LogQueue::start(output.clone()).expect("starts");
     let dropped = (0..2_000).filter(|_| queue.push("line\n".to_owned()).is_err());
--- a/crates/tansylead-gateway/tests/roll_out_world/faulty_source.rs
+++ b/crates/tansylead-gateway/tests/roll_out_world/faulty_source.rs
@@ -161,7 +161,7 @@
         Ok(SourceUpdate {
             at: orders.at,
             content: SourceContent::RollOuts(Some(orders)),
-            passed_over: 0,
+            skipped: 0,
         })
     }
 
--- a/crates/tansylead-gateway/tests/roll_outs_needed.rs
+++ b/crates/tansylead-gateway/tests/roll_outs_needed.rs
@@ -163,7 +163,7 @@
     SourceUpdate {
         at: Revision::first_era(at),
         content: SourceContent::RollOuts(content),
-        passed_over: 0,
+        skipped: 0,
     }
 }
 
--- a/crates/tansylead-gateway/tests/suspension.rs
+++ b/crates/tansylead-gateway/tests/suspension.rs
@@ -21,15 +21,15 @@
     assert!(futures_util::poll!(&mut waiting).is_pending());
     suspend();
     assert!(futures_util::poll!(&mut waiting).is_pending());
-    assert!(Clock.note_lag(Duration::from_secs(2)));
+    assert!(Clock.record_lag(Duration::from_secs(2)));
     assert!(futures_util::poll!(&mut waiting).is_ready());
     assert!(Clock.time_left(moment).is_zero());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_short_lag_is_no_pause() {
-    assert!(!Clock.note_lag(Duration::from_millis(400)));
-    assert!(Clock.note_lag(Duration::from_millis(1_000)));
+    assert!(!Clock.record_lag(Duration::from_millis(400)));
+    assert!(Clock.record_lag(Duration::from_millis(1_000)));
 }
 
 #[tokio::test]
