--- a/crates/tansylead-gateway/src/metrics.rs
+++ b/crates/tansylead-gateway/src/metrics.rs
@@ -24,9 +24,9 @@
 pub use labels::{BadInput, ForwardedResult, ReportDirection};
 pub use server::serve_metrics;
 
-/// Routes with a label of their own.
+/// Maximum number of routes that have their own label.
 const MAXIMUM_ROUTES: usize = 64;
-/// Label of all further routes.
+/// Label that all other routes share.
 const OTHER_ROUTES: &str = "other";
 /// Bounds of the latency histogram, in seconds.
 const LATENCY_BOUNDS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 10.0];
@@ -61,7 +61,7 @@
     idle_leaf_connections: IntGauge,
     lines_dropped: IntGauge,
     lines_suppressed: IntGauge,
-    /// What goes to versions under trial.
+    /// Metrics of sends to versions under trial.
     pub roll_outs: RollOutMetrics,
     roll_out_orders: RollOutOrderMetrics,
     routes: RefCell<HashSet<String>>,
@@ -71,7 +71,7 @@
     /// Outcome of a request that ended well.
     pub const SERVED: &'static str = "served";
 
-    /// Metrics that have counted nothing.
+    /// Creates the metrics with all counts at zero.
     pub fn new() -> Self {
         let registry = Registry::new();
         let options = HistogramOpts::new(
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Where parts of the daemon register metrics of their own.
+    /// The registry in which parts of the daemon register their own metrics.
     pub(crate) fn registry(&self) -> &Registry {
         &self.registry
     }
@@ -233,7 +233,7 @@
         self.request_seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts a query that was handed to a root, or came from another daemon.
+    /// Counts a query that was forwarded to a root, or came from another daemon.
     pub fn on_forwarded(&self, result: ForwardedResult) {
         self.forwarded.with_label_values(&[result.label()]).inc();
     }
@@ -248,27 +248,27 @@
         self.attempt_ends.with_label_values(&[end]).inc();
     }
 
-    /// Counts that the source came back from an older copy.
+    /// Counts that the source was restored from an older copy.
     pub fn on_source_restored(&self) {
         self.source_restored.inc();
     }
 
-    /// Counts a leaf that started again under its id.
+    /// Counts a leaf that was restarted under its id.
     pub fn on_leaf_restarted(&self) {
         self.leafs_restarted.inc();
     }
 
-    /// Counts a time at which all kept connections were closed.
+    /// Counts an event in which all kept connections were closed.
     pub fn on_kept_silent(&self) {
         self.kept_silent.inc();
     }
 
-    /// Counts a time at which this process did not run for a while.
+    /// Counts a period in which this process did not run.
     pub fn on_pause(&self) {
         self.pauses.inc();
     }
 
-    /// Counts an attempt that was not started.
+    /// Counts a further attempt that was not started.
     pub fn on_denied(&self, reason: &str) {
         self.denied.with_label_values(&[reason]).inc();
     }
@@ -295,12 +295,12 @@
         self.roll_out_orders.on_write(result);
     }
 
-    /// Counts input that could not be understood.
+    /// Counts input that could not be parsed.
     pub fn on_bad_input(&self, kind: BadInput) {
         self.add_bad_input(kind, 1);
     }
 
-    /// Counts so many pieces of input that could not be understood.
+    /// Counts `count` pieces of input that could not be parsed.
     pub fn add_bad_input(&self, kind: BadInput, count: u64) {
         let counter = self.bad_input.with_label_values(&[kind.label()]);
         counter.inc_by(count);
--- a/crates/tansylead-gateway/src/metrics/labels.rs
+++ b/crates/tansylead-gateway/src/metrics/labels.rs
@@ -1,13 +1,13 @@
-//! Kinds of what is counted.
+//! Label values of counters.
 
-/// Input that could not be understood, and was passed over.
+/// Input that could not be parsed, and was ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadInput {
-    /// A caller sent bytes that are no request; its connection ends.
+    /// A caller sent bytes that are not a request; its connection is closed.
     CallerBytes,
-    /// A caller's time to wait is no number; the request is served without one.
+    /// A caller's time limit is not a number; the request is served without it.
     CallerTime,
-    /// The source has an entry that is none, or that cannot be used.
+    /// An entry of the source is malformed or cannot be used.
     SourceEntry,
 }
 
@@ -22,26 +22,26 @@
     }
 }
 
-/// What became of a query that was handed to a root, or came from another daemon.
+/// Result of a query that was forwarded to a root, or came from another daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardedResult {
     /// The root answered or refused it.
     Answered,
-    /// The root holds another version, or is stopping; it runs here.
+    /// The root holds another version, or is stopping; the query runs here.
     Declined,
-    /// The root could not be reached; it runs here.
+    /// The root could not be reached; the query runs here.
     NotSent,
-    /// The connection to the root ended under it.
+    /// The connection to the root ended during the query.
     Failed,
-    /// The root answers nobody.
+    /// The root does not answer any query.
     Silent,
-    /// The time was up.
+    /// The time limit of the query has passed.
     TimedOut,
-    /// It runs here for another daemon.
+    /// The query runs here for another daemon.
     RunHere,
-    /// It came from another daemon and does not run here.
+    /// The query came from another daemon and does not run here.
     DeclinedHere,
-    /// It came from another daemon, and this one is too busy.
+    /// The query came from another daemon, and this one is too busy.
     BusyHere,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Which way reports on leafs went.
+/// Direction of reports on leafs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportDirection {
     /// To other daemons.
--- a/crates/tansylead-gateway/src/metrics/registry.rs
+++ b/crates/tansylead-gateway/src/metrics/registry.rs
@@ -1,5 +1,5 @@
-//! Makes and registers metrics. Their names are constants: one that is taken or malformed is found by the
-//! first test that starts a daemon.
+//! Creates and registers metrics. Their names are constants: a duplicate or malformed one fails the first
+//! test that starts a daemon.
 
 use prometheus::{Gauge, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry};
 
@@ -13,14 +13,14 @@
         .expect("names are unique");
 }
 
-/// A counter.
+/// Creates a counter.
 pub(super) fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     let counter = IntCounter::new(name, help).expect("constant options are valid");
     register(registry, &counter);
     counter
 }
 
-/// Counters by labels.
+/// Creates counters by labels.
 pub(super) fn counters(
     registry: &Registry,
     name: &str,
@@ -33,21 +33,21 @@
     counters
 }
 
-/// A whole number that goes up and down.
+/// Creates a gauge of a whole number.
 pub(super) fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
     let gauge = IntGauge::new(name, help).expect("constant options are valid");
     register(registry, &gauge);
     gauge
 }
 
-/// A time in seconds.
+/// Creates a gauge of a time in seconds.
 pub(super) fn seconds(registry: &Registry, name: &str, help: &str) -> Gauge {
     let gauge = Gauge::new(name, help).expect("constant options are valid");
     register(registry, &gauge);
     gauge
 }
 
-/// Whole numbers that go up and down, by labels.
+/// Creates gauges of whole numbers, by labels.
 pub(super) fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
     let gauges =
         IntGaugeVec::new(Opts::new(name, help), labels).expect("constant options are valid");
--- a/crates/tansylead-gateway/src/metrics/roll_out_orders.rs
+++ b/crates/tansylead-gateway/src/metrics/roll_out_orders.rs
@@ -1,4 +1,4 @@
-//! Metrics of the orders to roll out: how old the word on them is, their states, writes of states.
+//! Metrics of the orders to roll out: the age of the data on them, their states, writes of states.
 
 use super::registry::{counters, gauges, seconds};
 use crate::source::{SourceError, Topic, WriteEnd};
@@ -23,7 +23,7 @@
 }
 
 impl RollOutOrderMetrics {
-    /// Metrics that have counted nothing.
+    /// Creates the metrics with all counts at zero.
     pub(super) fn new(registry: &Registry) -> Self {
         Self {
             age: seconds(
@@ -57,7 +57,7 @@
         self.writes.with_label_values(&[end]).inc();
     }
 
-    /// Takes over what the daemon holds.
+    /// Sets the gauges to what the daemon holds.
     pub(super) fn update(&self, gateway: &Gateway) {
         let age = gateway.age(Topic::RollOuts);
         self.age.set(age.map_or(-1.0, |age| age.as_secs_f64()));
--- a/crates/tansylead-gateway/src/metrics/server.rs
+++ b/crates/tansylead-gateway/src/metrics/server.rs
@@ -37,7 +37,7 @@
         async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-    // A scraper that goes away comes back by itself.
+    // A scraper whose connection fails opens a new one.
     let _ = tokio::time::timeout(CONNECTION_LIMIT, connection).await;
 }
 
--- a/crates/tansylead-gateway/src/request_log.rs
+++ b/crates/tansylead-gateway/src/request_log.rs
@@ -1,10 +1,10 @@
-//! What is told of single requests.
+//! The log of single requests.
 //!
-//! Every request remembers its decisions while it runs (`request_trace`). When it ends badly
-//! (refused, failed, late, partial, or left by its caller) they are written, one line each, so that
-//! the engineer on call can go from the request's id to its cause. Whole requests are written
-//! first; when there are too many in a second, only their last lines, which count what their parts
-//! waited for, and then only their number. Healthy requests write one line each now and then.
+//! Every request records its decisions while it runs (`request_trace`). When it ends badly (refused,
+//! failed, late, partial, or abandoned by its caller) they are written, one line each, so that the engineer
+//! on call can get from the request's id to its cause. The first requests of a second are written in full;
+//! of the next ones only the last line, which counts what their parts waited for; further ones are only
+//! counted. Of healthy requests a sample is written, one line each.
 
 use crate::clock::Clock;
 use crate::execution::Outcome;
@@ -21,17 +21,17 @@
 use tansylead_route::{RequestFingerprint, RequestFingerprints, Route, Stage};
 use tansylead_types::Moment;
 
-/// Requests written with all of their decisions in a second.
-pub const WHOLE_REQUESTS_PER_SECOND: u32 = 4;
-/// Requests written in a second, with or without their decisions.
+/// Maximum number of requests written with all of their decisions in a second.
+pub const FULL_REQUESTS_PER_SECOND: u32 = 4;
+/// Maximum number of requests written in a second, with or without their decisions.
 pub const REQUESTS_PER_SECOND: u32 = 20;
-/// Healthy requests written in a second.
+/// Maximum number of healthy requests written in a second.
 pub const HEALTHY_REQUESTS_PER_SECOND: u32 = 1;
 
-/// Lines written in the present second, by this daemon.
+/// Limits on the requests that this daemon writes in a second.
 #[derive(Debug)]
 pub struct RequestLogLimits {
-    whole: PerSecondLimit,
+    full: PerSecondLimit,
     brief: PerSecondLimit,
     healthy: PerSecondLimit,
 }
@@ -39,7 +39,7 @@
 impl Default for RequestLogLimits {
     fn default() -> Self {
         Self {
-            whole: PerSecondLimit::new(WHOLE_REQUESTS_PER_SECOND),
+            full: PerSecondLimit::new(FULL_REQUESTS_PER_SECOND),
             brief: PerSecondLimit::new(REQUESTS_PER_SECOND),
             healthy: PerSecondLimit::new(HEALTHY_REQUESTS_PER_SECOND),
         }
@@ -49,14 +49,14 @@
 /// How much is written of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Detail {
-    Whole,
+    Full,
     Brief,
     Nothing,
 }
 
 impl RequestLogLimits {
-    fn admit(&self, now: Moment, healthy: bool) -> Detail {
-        if healthy {
+    fn admit(&self, now: Moment, is_healthy: bool) -> Detail {
+        if is_healthy {
             return match self.healthy.try_take(now) {
                 true => Detail::Brief,
                 false => Detail::Nothing,
@@ -66,30 +66,30 @@
             count_suppressed(1);
             return Detail::Nothing;
         }
-        match self.whole.try_take(now) {
-            true => Detail::Whole,
+        match self.full.try_take(now) {
+            true => Detail::Full,
             false => Detail::Brief,
         }
     }
 }
 
-/// The log of one request; writes when the request ends, or when its caller goes away before.
+/// The log of one request, written when the request ends or its caller disconnects before.
 #[derive(Debug)]
 pub struct RequestLog {
     gateway: Rc<Gateway>,
     id: Option<HeaderValue>,
     arrived: Moment,
-    /// Decisions.
+    /// Decisions made for the request.
     pub trace: Rc<RequestTrace>,
-    /// Route, once found.
+    /// Route, once it is found.
     pub route: Option<Arc<Route>>,
-    /// Version of the configuration that decided.
+    /// Version of the configuration under which the request is handled.
     pub version: Option<u64>,
-    /// What the request is recognized by when it comes again, once it has been read whole.
+    /// Fingerprints that identify repetitions of the request, once it has been read completely.
     pub fingerprints: Option<RequestFingerprints>,
-    /// The daemon that asked for it; none if a caller did.
+    /// The daemon that forwarded the request; none if it came from a caller.
     asked_by: Option<String>,
-    finished: bool,
+    is_finished: bool,
 }
 
 impl RequestLog {
@@ -104,11 +104,11 @@
             version: None,
             fingerprints: None,
             asked_by: None,
-            finished: false,
+            is_finished: false,
         }
     }
 
-    /// The log of a query that another daemon handed on. It is counted there, not here.
+    /// The log of a query that another daemon forwarded. Metrics count it there, not here.
     pub fn for_peer(
         gateway: Rc<Gateway>,
         id: Option<HeaderValue>,
@@ -120,9 +120,9 @@
         log
     }
 
-    /// Notes the end of the request.
+    /// Writes the end of the request.
     pub fn finish(&mut self, outcome: &Outcome) {
-        self.finished = true;
+        self.is_finished = true;
         let took = Clock.now().since(self.arrived);
         let missing = match outcome {
             Outcome::Merged { missing, .. } => *missing,
@@ -133,12 +133,12 @@
 
     fn label(&self, outcome: &Outcome, took: Duration) -> &'static str {
         let route = self.route.as_ref();
-        let late = route.is_some_and(|route| took > route.policy.objective);
+        let is_late = route.is_some_and(|route| took > route.policy.objective);
         match outcome {
             Outcome::Refused(refusal) => refusal.reason.label(),
             Outcome::Merged { missing, .. } if *missing > 0 => "partial",
             Outcome::Leaf { status, .. } if status.is_server_error() => "leaf_failure",
-            _ if late => "late",
+            _ if is_late => "late",
             _ => Metrics::SERVED,
         }
     }
@@ -149,14 +149,17 @@
             let metrics = &self.gateway.metrics;
             metrics.on_request(route.unwrap_or(""), outcome, took);
         }
-        let healthy = outcome == Metrics::SERVED;
-        let detail = self.gateway.request_log_limits.admit(Clock.now(), healthy);
+        let is_healthy = outcome == Metrics::SERVED;
+        let detail = self
+            .gateway
+            .request_log_limits
+            .admit(Clock.now(), is_healthy);
         if detail == Detail::Nothing {
             return;
         }
         let id = self.id.as_ref().and_then(|id| id.to_str().ok());
         let id = id.unwrap_or("");
-        if detail == Detail::Whole {
+        if detail == Detail::Full {
             self.write_decisions(id);
         }
         let age = |topic| {
@@ -183,7 +186,7 @@
             asked_by = self.asked_by.as_deref().unwrap_or(""),
             took_ms = took.as_millis() as u64,
             unix_seconds = unix_seconds(),
-            waits = describe(&self.trace.waits()).as_str(),
+            waits = format_waits(&self.trace.waits()).as_str(),
             decisions = self.trace.count();
             "request"
         );
@@ -197,14 +200,14 @@
     }
 }
 
-/// The time of day, for people who read several daemons' logs; it decides nothing.
+/// Wall-clock time, to align the logs of several daemons; it is not used for decisions.
 fn unix_seconds() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| since.as_secs())
 }
 
-/// Counted waits as text: `budget:2 connection:1`.
-fn describe(waits: &[(PartWait, usize)]) -> String {
+/// Formats counted waits: `budget:2 connection:1`.
+fn format_waits(waits: &[(PartWait, usize)]) -> String {
     let counts = waits
         .iter()
         .map(|(wait, count)| format!("{}:{count}", wait.label()));
@@ -261,7 +264,7 @@
     }
 }
 
-/// Version of a leaf's software; empty if the source tells none.
+/// Version of a leaf's software; empty if the source lists none.
 fn version(leaf: &LeafState) -> String {
     let entry = leaf.entry();
     let version = entry.version.as_ref();
@@ -270,7 +273,7 @@
 
 impl Drop for RequestLog {
     fn drop(&mut self) {
-        if !self.finished {
+        if !self.is_finished {
             let took = Clock.now().since(self.arrived);
             self.end("caller_left", 0, took);
         }
