--- a/crates/tansylead-cli/src/explain_command.rs
+++ b/crates/tansylead-cli/src/explain_command.rs
@@ -53,7 +53,7 @@
     let request = first.ok_or_else(|| eyre::eyre!("no request id given"))?;
     let explanation = explain(request, &read_all(paths)?);
     output!("{explanation}");
-    if explanation.stories.is_empty() {
+    if explanation.histories.is_empty() {
         return Ok(ExitStatus::Failure);
     }
     Ok(ExitStatus::Success)
--- a/crates/tansylead-gateway/src/execution/call.rs
+++ b/crates/tansylead-gateway/src/execution/call.rs
@@ -205,7 +205,7 @@
             overdue: delay,
             trial: leaf.trial_stage(),
         };
-        self.trace.note(self.service.name(), decision);
+        self.trace.record(self.service.name(), decision);
         let verdict = self.quarantine_verdict();
         let in_flight = self.shared.care.begin(verdict);
         let attempt = Attempt::start(
--- a/crates/tansylead-gateway/src/execution/call_extra.rs
+++ b/crates/tansylead-gateway/src/execution/call_extra.rs
@@ -31,7 +31,7 @@
                     leaf: Rc::clone(&attempt.leaf),
                     is_sent: attempt.is_sent(),
                 };
-                self.trace.note(self.service.name(), decision);
+                self.trace.record(self.service.name(), decision);
                 match attempt.sent.get() {
                     Some(sent) => {
                         let delay = attempt.overdue_delay;
@@ -81,7 +81,7 @@
         let is_hedge = kind == ExtraAttempt::Hedge;
         if is_hedge && leaf.as_ref().is_none_or(is_avoided) {
             // Waiting on is better than a leaf that does not answer either.
-            return self.deny(DenialReason::NoSoundLeaf);
+            return self.deny(DenialReason::NoHealthyLeaf);
         }
         let open = progress.attempts.iter().filter(|attempt| attempt.is_sent());
         let sent = progress.arrivals + open.count() as u32;
--- a/crates/tansylead-gateway/src/execution/call_notes.rs
+++ b/crates/tansylead-gateway/src/execution/call_notes.rs
@@ -52,7 +52,7 @@
     pub(super) fn deny(&self, reason: DenialReason) {
         self.gateway.metrics.on_denied(reason.label());
         self.trace
-            .note(self.service.name(), Decision::Denied { reason });
+            .record(self.service.name(), Decision::Denied { reason });
     }
 
     pub(super) fn note_end(&self, attempt: &Attempt, end: Option<&AttemptEnd>) {
@@ -90,7 +90,7 @@
             cause,
             took: Clock.now().since(attempt.started),
         };
-        self.trace.note(self.service.name(), decision);
+        self.trace.record(self.service.name(), decision);
     }
 
     pub(super) fn overdue_delay(&self, leaf: &LeafState) -> Duration {
--- a/crates/tansylead-gateway/src/explain/cause.rs
+++ b/crates/tansylead-gateway/src/explain/cause.rs
@@ -1,34 +1,34 @@
-//! The likely cause of a request's end, from its lines.
+//! Derives the likely cause of a request's end from its log lines.
 
 use super::joined;
 use super::log_line::{RequestEvent, RequestLine};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What happened at one service of a request.
+/// What went wrong at one service of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceTrouble {
+pub struct ServiceProblem {
     /// Service.
     pub service: String,
     /// Leafs whose answer was overdue.
     pub overdue: Vec<String>,
-    /// Ends of attempts that were no answer, with their leafs.
+    /// Ends of attempts without a good answer, with their leafs.
     pub failures: Vec<String>,
-    /// Leafs of a version under trial that it was meant for, with version and stage.
+    /// Leafs of a version under trial for which attempts were started, with version and stage.
     pub under_trial: Vec<String>,
     /// Why no further attempt was started.
     pub denied: Vec<String>,
-    /// Whether an answer came in the end.
+    /// Whether it gave a good answer in the end.
     pub answered: bool,
 }
 
-impl ServiceTrouble {
-    fn is_trouble(&self) -> bool {
+impl ServiceProblem {
+    fn is_problem(&self) -> bool {
         !self.answered || !self.overdue.is_empty() || !self.failures.is_empty()
     }
 }
 
-impl fmt::Display for ServiceTrouble {
+impl fmt::Display for ServiceProblem {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let end = if self.answered {
             "answered in the end"
@@ -59,28 +59,28 @@
 pub enum Cause {
     /// The request was served in time.
     Served,
-    /// The daemon knew no configuration yet.
+    /// The daemon had no configuration yet.
     NoConfiguration,
-    /// Leafs were short of capacity, and the daemon admitted only a part of the queries.
+    /// Leafs lacked capacity, and the daemon admitted only some of the queries.
     Overloaded,
-    /// Leafs end whenever they run the request; none was sent it.
+    /// Leafs end whenever they run the request, so it was sent to none.
     EndsLeafs,
-    /// The request itself was refused, for what it was.
+    /// The request itself was invalid and was refused.
     BadRequest {
         /// The outcome.
         outcome: String,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft {
-        /// What was under way.
-        troubles: Vec<ServiceTrouble>,
+        /// Problems until then.
+        problems: Vec<ServiceProblem>,
     },
-    /// Services did not answer, or late.
+    /// Services did not answer, or answered late.
     Services {
         /// The outcome.
         outcome: String,
-        /// What happened, worst first.
-        troubles: Vec<ServiceTrouble>,
+        /// Problems by service, worst first.
+        problems: Vec<ServiceProblem>,
     },
     /// Only the last line was written: too many requests ended badly at the time.
     Unknown {
@@ -93,7 +93,7 @@
     /// The cause, from the request's last line and all of its lines.
     pub(super) fn of(last: &RequestLine, lines: &[RequestLine]) -> Self {
         let outcome = last.line.text("outcome");
-        let troubles = troubles(lines);
+        let problems = find_problems(lines);
         match outcome.as_str() {
             "served" => Self::Served,
             "no_configuration" => Self::NoConfiguration,
@@ -101,20 +101,20 @@
             "ends_leafs" => Self::EndsLeafs,
             "no_route" | "no_request_id" | "body_too_large" | "headers_too_large" | "bad_body"
             | "body_too_late" => Self::BadRequest { outcome },
-            "caller_left" => Self::CallerLeft { troubles },
-            _ if troubles.is_empty() => Self::Unknown { outcome },
-            _ => Self::Services { outcome, troubles },
+            "caller_left" => Self::CallerLeft { problems },
+            _ if problems.is_empty() => Self::Unknown { outcome },
+            _ => Self::Services { outcome, problems },
         }
     }
 }
 
-fn troubles(lines: &[RequestLine]) -> Vec<ServiceTrouble> {
-    let mut services: BTreeMap<String, ServiceTrouble> = BTreeMap::new();
+fn find_problems(lines: &[RequestLine]) -> Vec<ServiceProblem> {
+    let mut services: BTreeMap<String, ServiceProblem> = BTreeMap::new();
     for line in lines.iter().filter(|line| !line.is_last()) {
         let service = line.service();
-        let trouble = services
+        let problem = services
             .entry(service.clone())
-            .or_insert_with(|| ServiceTrouble {
+            .or_insert_with(|| ServiceProblem {
                 service,
                 overdue: Vec::new(),
                 failures: Vec::new(),
@@ -122,33 +122,33 @@
                 denied: Vec::new(),
                 answered: false,
             });
-        note(trouble, line);
+        record(problem, line);
     }
-    let mut troubles: Vec<ServiceTrouble> = services
+    let mut problems: Vec<ServiceProblem> = services
         .into_values()
-        .filter(ServiceTrouble::is_trouble)
+        .filter(ServiceProblem::is_problem)
         .collect();
-    troubles.sort_by_key(|trouble| trouble.answered);
-    troubles
+    problems.sort_by_key(|problem| problem.answered);
+    problems
 }
 
-fn note(trouble: &mut ServiceTrouble, line: &RequestLine) {
+fn record(problem: &mut ServiceProblem, line: &RequestLine) {
     let leaf = line.line.text("leaf");
     match line.event {
-        RequestEvent::Overdue => trouble.overdue.push(leaf),
-        RequestEvent::Denied => trouble.denied.push(line.line.text("reason")),
-        RequestEvent::Ended if is_good_answer(line) => trouble.answered = true,
+        RequestEvent::Overdue => problem.overdue.push(leaf),
+        RequestEvent::Denied => problem.denied.push(line.line.text("reason")),
+        RequestEvent::Ended if is_good_answer(line) => problem.answered = true,
         RequestEvent::Ended => {
             let end = line.line.text("end");
             let cause = line.line.text("cause");
-            trouble.failures.push(format!("{leaf} {end} ({cause})"));
+            problem.failures.push(format!("{leaf} {end} ({cause})"));
         }
-        RequestEvent::Started => trouble.under_trial.extend(under_trial(line, &leaf)),
+        RequestEvent::Started => problem.under_trial.extend(under_trial(line, &leaf)),
         RequestEvent::Last | RequestEvent::Other => {}
     }
 }
 
-/// Version and stage of an attempt that was meant for a version under trial.
+/// Leaf, version and stage of an attempt at a version under trial.
 fn under_trial(line: &RequestLine, leaf: &str) -> Option<String> {
     let stage = line.line.text("trial");
     let version = line.line.text("version");
@@ -177,13 +177,13 @@
             Self::BadRequest { outcome } => {
                 write!(formatter, "the request itself: {outcome}")
             }
-            Self::CallerLeft { troubles } => {
+            Self::CallerLeft { problems } => {
                 formatter.write_str("the caller went away")?;
-                write_troubles(formatter, troubles)
+                write_problems(formatter, problems)
             }
-            Self::Services { outcome, troubles } => {
+            Self::Services { outcome, problems } => {
                 write!(formatter, "{outcome}")?;
-                write_troubles(formatter, troubles)
+                write_problems(formatter, problems)
             }
             Self::Unknown { outcome } => write!(
                 formatter,
@@ -193,9 +193,9 @@
     }
 }
 
-fn write_troubles(formatter: &mut fmt::Formatter<'_>, troubles: &[ServiceTrouble]) -> fmt::Result {
-    for trouble in troubles {
-        write!(formatter, "\n    {trouble}")?;
+fn write_problems(formatter: &mut fmt::Formatter<'_>, problems: &[ServiceProblem]) -> fmt::Result {
+    for problem in problems {
+        write!(formatter, "\n    {problem}")?;
     }
     Ok(())
 }
--- a/crates/tansylead-gateway/src/explain/log_line.rs
+++ b/crates/tansylead-gateway/src/explain/log_line.rs
@@ -1,4 +1,4 @@
-//! Lines of a daemon's log, read back.
+//! Parses lines of a daemon's log.
 
 use serde::Deserialize;
 use serde_json::{Map, Value};
@@ -9,21 +9,21 @@
 /// One line of a daemon's log.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct LogLine {
-    /// The daemon's steady clock, in microseconds.
+    /// Time by the daemon's monotonic clock, in microseconds.
     #[serde(rename = "at_us")]
     pub at_micros: u64,
     /// What happened.
     pub event: String,
-    /// Request concerned, if one is.
+    /// Id of the request that the line is about, if any.
     #[serde(default)]
     pub request: Option<String>,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line; none if it is no log line.
+    /// Parses a line; none if it is not a log line.
     pub fn parse(text: &str) -> Option<Self> {
         serde_json::from_str(text).ok()
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A line about one request.
+/// Kind of a line about a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestEvent {
     /// An attempt was started.
@@ -69,14 +69,14 @@
     Denied,
     /// The request ended.
     Last,
-    /// Something that this version does not know.
+    /// An event that this version does not know.
     Other,
 }
 
 /// A line about one request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestLine {
-    /// The daemon's steady clock, in microseconds.
+    /// Time by the daemon's monotonic clock, in microseconds.
     pub at_micros: u64,
     /// What happened.
     pub event: RequestEvent,
@@ -85,7 +85,7 @@
 }
 
 impl RequestLine {
-    /// Reads a line about a request.
+    /// Classifies a line about a request.
     pub fn from_line(line: &LogLine) -> Self {
         let event = match line.event.as_str() {
             "attempt started" => RequestEvent::Started,
@@ -112,7 +112,7 @@
         self.line.number("took_ms") * MICROS_PER_MILLI
     }
 
-    /// Service concerned.
+    /// Service that the line is about.
     pub fn service(&self) -> String {
         self.line.text("service")
     }
--- a/crates/tansylead-gateway/src/explain/mod.rs
+++ b/crates/tansylead-gateway/src/explain/mod.rs
@@ -1,61 +1,61 @@
-//! From a request's id to its cause, by the logs alone.
+//! Finds the cause of a request's end from its id and the logs alone.
 //!
-//! Reads the lines of `request_log` and of the daemon's other decisions from several daemons'
-//! logs, puts those of one request in order, and names the likely cause; or sums up what all
-//! requests that ended badly waited for. Lines that are no log lines are counted and passed over.
+//! Reads the lines of `request_log` and of the daemon's other decisions from the logs of several daemons,
+//! collects those of one request and names the likely cause; or sums up what all requests that ended badly
+//! waited for. Lines that are not log lines are counted and skipped.
 
 mod cause;
 mod log_line;
 mod summary;
 
-pub use cause::{Cause, ServiceTrouble};
+pub use cause::{Cause, ServiceProblem};
 pub use log_line::{LogLine, RequestLine};
 pub use summary::{Summary, SummaryRow, summarize};
 
 use std::fmt::{self, Write as _};
 
-/// Lines of the daemon around the request that are shown.
+/// Maximum number of other lines of the daemon that are shown with a request.
 const MAXIMUM_CONTEXT_LINES: usize = 20;
-/// Lines before the request's arrival that are taken for its surroundings, in microseconds.
+/// Time before the request's arrival from which other lines are shown, in microseconds.
 const CONTEXT_BEFORE_MICROS: u64 = 1_000_000;
 
 /// One daemon's log.
 #[derive(Debug, Clone)]
 pub struct DaemonLog {
-    /// Name shown for the daemon: the file's.
+    /// Name of the log file, shown as the name of the daemon.
     pub name: String,
-    /// Its text.
+    /// Text of the log.
     pub text: String,
 }
 
-/// What one daemon's log says of a request.
+/// What one daemon's log says about a request.
 #[derive(Debug, Clone)]
-pub struct Story {
+pub struct RequestHistory {
     /// The daemon.
     pub daemon: String,
     /// The request's last line, and the decisions before it.
     pub lines: Vec<RequestLine>,
-    /// What the daemon noted around that time about itself, leafs and members.
+    /// Lines that the daemon logged around that time about itself, leafs and members.
     pub context: Vec<LogLine>,
     /// The likely cause.
     pub cause: Cause,
 }
 
-/// What the logs say of a request.
+/// What the logs say about a request.
 #[derive(Debug, Clone)]
 pub struct Explanation {
     /// The request's id.
     pub request: String,
-    /// A story for each daemon that knows the request.
-    pub stories: Vec<Story>,
-    /// Lines that are no log lines.
+    /// The history at each daemon that logged the request.
+    pub histories: Vec<RequestHistory>,
+    /// Number of lines that are not log lines.
     pub broken_lines: usize,
 }
 
-/// Collects what the logs say of a request.
+/// Collects what the logs say about a request.
 pub fn explain(request: &str, logs: &[DaemonLog]) -> Explanation {
     let mut broken_lines = 0;
-    let mut stories = Vec::new();
+    let mut histories = Vec::new();
     for log in logs {
         let mut lines = Vec::new();
         for text in log.text.lines().filter(|line| !line.trim().is_empty()) {
@@ -64,16 +64,16 @@
                 None => broken_lines += 1,
             }
         }
-        stories.extend(story(request, &log.name, &lines));
+        histories.extend(history(request, &log.name, &lines));
     }
     Explanation {
         request: request.to_owned(),
-        stories,
+        histories,
         broken_lines,
     }
 }
 
-fn story(request: &str, daemon: &str, lines: &[LogLine]) -> Option<Story> {
+fn history(request: &str, daemon: &str, lines: &[LogLine]) -> Option<RequestHistory> {
     let own: Vec<RequestLine> = lines
         .iter()
         .filter(|line| line.request.as_deref() == Some(request))
@@ -89,7 +89,7 @@
         .take(MAXIMUM_CONTEXT_LINES)
         .cloned()
         .collect();
-    Some(Story {
+    Some(RequestHistory {
         daemon: daemon.to_owned(),
         cause: Cause::of(last, &own),
         lines: own,
@@ -99,7 +99,7 @@
 
 impl fmt::Display for Explanation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.stories.is_empty() {
+        if self.histories.is_empty() {
             writeln!(
                 formatter,
                 "request {}: no line in these logs. It was served, its lines were suppressed for \
@@ -107,18 +107,18 @@
                 self.request
             )?;
         }
-        for story in &self.stories {
-            writeln!(formatter, "request {} at {}", self.request, story.daemon)?;
-            for line in &story.lines {
+        for history in &self.histories {
+            writeln!(formatter, "request {} at {}", self.request, history.daemon)?;
+            for line in &history.lines {
                 writeln!(formatter, "  {line}")?;
             }
-            if !story.context.is_empty() {
+            if !history.context.is_empty() {
                 writeln!(formatter, "  what the daemon noted meanwhile:")?;
             }
-            for line in &story.context {
+            for line in &history.context {
                 writeln!(formatter, "    {line}")?;
             }
-            writeln!(formatter, "  likely cause: {}", story.cause)?;
+            writeln!(formatter, "  likely cause: {}", history.cause)?;
         }
         if self.broken_lines > 0 {
             let lines = self.broken_lines;
--- a/crates/tansylead-gateway/src/explain/summary.rs
+++ b/crates/tansylead-gateway/src/explain/summary.rs
@@ -1,6 +1,6 @@
-//! What the requests of whole logs waited for: by route and outcome, and by second.
+//! Summary of what the requests in logs waited for, by route and outcome and by second.
 //!
-//! Rests on the last lines of requests. Under load a daemon writes only some of them, so counts are
+//! It is based on the last lines of requests. Under load a daemon writes only some of them, so counts are
 //! lower bounds, and shares among causes are estimates.
 
 use super::DaemonLog;
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Requests of one kind, with what their parts waited for.
+/// Counts of the requests of one row.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SummaryRow {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Parts that were missing from their answers.
+    /// Number of parts missing from their answers.
     pub missing_parts: u64,
-    /// Parts by what they waited for.
+    /// Number of parts by what they waited for.
     pub waits: BTreeMap<String, u64>,
 }
 
@@ -24,9 +24,9 @@
 pub struct Summary {
     /// By route and outcome.
     pub by_route: BTreeMap<(String, String), SummaryRow>,
-    /// By second of the time of day and outcome.
+    /// By wall-clock second and outcome.
     pub by_second: BTreeMap<(u64, String), SummaryRow>,
-    /// Lines that are no log lines.
+    /// Number of lines that are not log lines.
     pub broken_lines: usize,
 }
 
--- a/crates/tansylead-gateway/src/request_trace.rs
+++ b/crates/tansylead-gateway/src/request_trace.rs
@@ -1,9 +1,9 @@
-//! The decisions of one request, remembered while it runs.
+//! The decisions of one request, recorded while it runs.
 //!
-//! A query over many shards makes two decisions for each healthy part, which explain nothing. So
-//! the decisions of a part that was answered at once are dropped as soon as it is; only the last
-//! such part is kept, since it may be what the answer waited for. What is left is bounded, and
-//! decisions on parts that went wrong take the place of those on parts that are merely open.
+//! A query over many shards makes two decisions for each healthy part, which explain nothing. So when
+//! the first attempt of a part is answered without other decisions on it, its decisions are dropped; only the
+//! last such part is kept, since it may be what the answer waited for. The rest is bounded, and decisions on
+//! parts that went wrong replace those on parts that are merely open.
 
 use crate::clock::Clock;
 use crate::leaf::LeafState;
@@ -16,19 +16,19 @@
 use tansylead_route::Stage;
 use tansylead_types::{Moment, ServiceName};
 
-/// Decisions remembered for one request.
+/// Maximum number of decisions recorded for one request.
 pub const MAXIMUM_DECISIONS: usize = 128;
 
 /// Why an attempt was started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptReason {
-    /// It is the first.
+    /// It is the first attempt.
     First,
-    /// The one before was overdue.
+    /// The previous one was overdue.
     Hedge,
-    /// The one before failed.
+    /// The previous one failed.
     Retry,
-    /// The one before reached no leaf.
+    /// The previous one reached no leaf.
     NotSent,
 }
 
@@ -49,17 +49,17 @@
 pub enum DenialReason {
     /// The route allows no more attempts.
     Attempts,
-    /// The budget of extra attempts is spent.
+    /// The budget of extra attempts is used up.
     Budget,
-    /// No leaf is left that was not tried.
+    /// All leafs were tried.
     NoLeaf,
-    /// Every leaf that was not tried has stopped answering too.
-    NoSoundLeaf,
-    /// The time is up.
+    /// Every leaf that was not tried has stopped answering as well.
+    NoHealthyLeaf,
+    /// The time limit of the request has passed.
     End,
-    /// Leafs end under the request: it goes to one at a time.
+    /// Leafs end under the request: it is sent to one at a time.
     OneAtATime,
-    /// Leafs ended under the request: it goes to none.
+    /// Leafs ended under the request: it is sent to none.
     Quarantined,
 }
 
@@ -70,7 +70,7 @@
             Self::Attempts => "attempts",
             Self::Budget => "budget",
             Self::NoLeaf => "no_leaf",
-            Self::NoSoundLeaf => "no_sound_leaf",
+            Self::NoHealthyLeaf => "no_sound_leaf",
             Self::End => "end",
             Self::OneAtATime => "one_at_a_time",
             Self::Quarantined => "quarantined",
@@ -85,13 +85,13 @@
     Answered,
     /// The leaf says that it did not run the request.
     Refused,
-    /// Nothing was handed to a connection.
+    /// Nothing was written to a connection.
     NotSent,
-    /// The leaf may have run the request, and gave no answer.
+    /// The leaf may have run the request, but gave no answer.
     Failed,
-    /// The same: the connection ended under the request.
+    /// Like `Failed`: the connection ended during the request.
     Lost,
-    /// An answer to another request came.
+    /// The answer belonged to another request.
     Foreign,
 }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// What an attempt ended with.
+/// Details of the end of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndCause {
     /// The status of a leaf's answer.
@@ -127,7 +127,7 @@
     }
 }
 
-/// One decision that touched a request.
+/// One decision or event of a request.
 #[derive(Debug)]
 pub enum Decision {
     /// An attempt was started.
@@ -138,16 +138,16 @@
         reason: AttemptReason,
         /// After this time its answer is overdue.
         overdue: Duration,
-        /// The stage of the trial that the leaf's version is the target of; none if it is of none.
+        /// The stage of the trial whose target is the version of the leaf; none if there is no such trial.
         trial: Option<Stage>,
     },
     /// An attempt ended.
     Ended {
         /// Leaf.
         leaf: Rc<LeafState>,
-        /// How.
+        /// How it ended.
         end: AttemptEndKind,
-        /// With what.
+        /// Details of the end.
         cause: EndCause,
         /// Time since its start.
         took: Duration,
@@ -156,7 +156,7 @@
     Overdue {
         /// Leaf.
         leaf: Rc<LeafState>,
-        /// Whether the request was handed to a connection; if not, one is still awaited.
+        /// Whether the request was written to a connection; if not, it still waits for one.
         is_sent: bool,
     },
     /// Another attempt was not started.
@@ -184,39 +184,39 @@
     }
 }
 
-/// A decision with its moment and part.
+/// A decision with its time and service.
 #[derive(Debug)]
 pub struct TracedDecision {
-    /// When.
+    /// When it was made.
     pub at: Moment,
-    /// Service concerned.
+    /// Service of the part.
     pub service: ServiceName,
     /// The decision.
     pub decision: Decision,
 }
 
-/// What a part of a request waited for when the request ended, or before it was answered late.
+/// What a part of a request waited for when the request ended, or before a late answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PartWait {
     /// An answer that was not overdue.
     Answer,
     /// A connection to a leaf.
     Connection,
-    /// An overdue answer, with another attempt under way.
+    /// An overdue answer, with another attempt in progress.
     SecondAnswer,
-    /// An overdue answer; the attempts of the route were spent.
+    /// An overdue answer; the attempts of the route were used up.
     Attempts,
-    /// An overdue answer; the budget of extra attempts was spent.
+    /// An overdue answer; the budget of extra attempts was used up.
     Budget,
     /// No leaf was left to try.
     NoLeaf,
-    /// Every other leaf had stopped answering too.
-    NoSoundLeaf,
-    /// The time was up.
+    /// Every other leaf had stopped answering as well.
+    NoHealthyLeaf,
+    /// The time limit of the request had passed.
     End,
-    /// Leafs ended under the request, and it went to one at a time.
+    /// Leafs ended under the request, and it was sent to one at a time.
     OneAtATime,
-    /// Leafs ended under the request, and it went to no more.
+    /// Leafs ended under the request, and it was sent to no more.
     Quarantined,
     /// A leaf failed or refused, and no attempt followed.
     Failure,
@@ -232,7 +232,7 @@
             Self::Attempts => "attempts",
             Self::Budget => "budget",
             Self::NoLeaf => "no_leaf",
-            Self::NoSoundLeaf => "no_sound_leaf",
+            Self::NoHealthyLeaf => "no_sound_leaf",
             Self::End => "end",
             Self::OneAtATime => "one_at_a_time",
             Self::Quarantined => "quarantined",
@@ -240,7 +240,7 @@
         }
     }
 
-    /// What is waited for after a decision, if that changes.
+    /// What the part waits for after a decision, if the decision changes that.
     fn after(decision: &Decision) -> Option<Self> {
         match decision {
             Decision::Started { reason, .. } => Some(match reason {
@@ -254,7 +254,7 @@
                 DenialReason::Attempts => Self::Attempts,
                 DenialReason::Budget => Self::Budget,
                 DenialReason::NoLeaf => Self::NoLeaf,
-                DenialReason::NoSoundLeaf => Self::NoSoundLeaf,
+                DenialReason::NoHealthyLeaf => Self::NoHealthyLeaf,
                 DenialReason::End => Self::End,
                 DenialReason::OneAtATime => Self::OneAtATime,
                 DenialReason::Quarantined => Self::Quarantined,
@@ -269,7 +269,7 @@
 #[derive(Debug, Default)]
 pub struct RequestTrace {
     decisions: RefCell<Vec<TracedDecision>>,
-    /// The last part that was answered at once: its start and its end.
+    /// The start and the end of the last part that was answered without other decisions on it.
     last_healthy: RefCell<Option<[TracedDecision; 2]>>,
     omitted: Cell<usize>,
     /// The daemon that ran the query for this one.
@@ -277,12 +277,12 @@
 }
 
 impl RequestTrace {
-    /// Notes which daemon runs the query for this one.
+    /// Records which daemon runs the query for this one.
     pub fn set_root(&self, root: SocketAddr) {
         self.root.set(Some(root));
     }
 
-    /// Notes that this daemon runs the query itself after all.
+    /// Records that this daemon runs the query itself after all.
     pub fn clear_root(&self) {
         self.root.set(None);
     }
@@ -292,8 +292,8 @@
         self.root.get()
     }
 
-    /// Remembers a decision.
-    pub fn note(&self, service: &ServiceName, decision: Decision) {
+    /// Records a decision.
+    pub fn record(&self, service: &ServiceName, decision: Decision) {
         let traced = TracedDecision {
             at: Clock.now(),
             service: service.clone(),
@@ -309,7 +309,7 @@
         }
         if decisions.len() >= MAXIMUM_DECISIONS {
             self.omitted.set(self.omitted.get() + 1);
-            match unremarkable(&decisions) {
+            match replaceable(&decisions) {
                 Some(index) if !traced.decision.is_first_start() => {
                     decisions.remove(index);
                 }
@@ -319,7 +319,7 @@
         decisions.push(traced);
     }
 
-    /// Number of decisions that are remembered or were left out for their number.
+    /// Number of decisions, including those left out because there were too many.
     pub fn count(&self) -> usize {
         let healthy = self
             .last_healthy
@@ -329,7 +329,7 @@
         self.decisions.borrow().len() + healthy + self.omitted.get()
     }
 
-    /// Passes the remembered decisions to `visit`, in order for each part.
+    /// Passes the recorded decisions to `visit`, in order for each part.
     pub fn for_each(&self, mut visit: impl FnMut(&TracedDecision)) {
         self.last_healthy
             .borrow()
@@ -339,7 +339,7 @@
         self.decisions.borrow().iter().for_each(visit);
     }
 
-    /// What the parts that went wrong or are open waited for, and how many for each.
+    /// What the parts that went wrong or are open waited for, with the number of parts for each.
     pub fn waits(&self) -> Vec<(PartWait, usize)> {
         let mut parts: Vec<(ServiceName, PartWait)> = Vec::new();
         for traced in self.decisions.borrow().iter() {
@@ -373,12 +373,12 @@
         .enumerate()
         .filter(|(_, traced)| traced.service == *service);
     let (index, traced) = own.next()?;
-    let is_alone = own.next().is_none();
-    (is_alone && traced.decision.is_first_start()).then_some(index)
+    let is_only = own.next().is_none();
+    (is_only && traced.decision.is_first_start()).then_some(index)
 }
 
-/// Index of a decision on a part about which nothing is known but that it was started.
-fn unremarkable(decisions: &[TracedDecision]) -> Option<usize> {
+/// Index of the only decision on a part that was merely started; it can be replaced.
+fn replaceable(decisions: &[TracedDecision]) -> Option<usize> {
     decisions
         .iter()
         .position(|traced| only_start(decisions, &traced.service).is_some())
--- a/crates/tansylead-gateway/tests/explain.rs
+++ b/crates/tansylead-gateway/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause.
+//! Finding the cause of a request's end from its id.
 
 use tansylead_gateway::explain::{Cause, DaemonLog, explain, summarize};
 
@@ -24,26 +24,26 @@
 
 fn cause(request: &str) -> Cause {
     let explanation = explain(request, &[log()]);
-    explanation.stories[0].cause.clone()
+    explanation.histories[0].cause.clone()
 }
 
 #[test]
 fn a_partial_answer_is_traced_to_the_leaf_and_the_budget() {
-    let Cause::Services { outcome, troubles } = cause("r1") else {
+    let Cause::Services { outcome, problems } = cause("r1") else {
         panic!("unexpected cause {:?}", cause("r1"));
     };
     assert_eq!(outcome, "partial");
-    assert_eq!(troubles.len(), 1);
-    assert_eq!(troubles[0].service, "shard-2");
-    assert_eq!(troubles[0].overdue, ["i-2"]);
-    assert_eq!(troubles[0].denied, ["budget"]);
-    assert!(!troubles[0].answered);
+    assert_eq!(problems.len(), 1);
+    assert_eq!(problems[0].service, "shard-2");
+    assert_eq!(problems[0].overdue, ["i-2"]);
+    assert_eq!(problems[0].denied, ["budget"]);
+    assert!(!problems[0].answered);
 }
 
 #[test]
-fn what_the_daemon_noted_meanwhile_is_shown() {
+fn what_the_daemon_logged_meanwhile_is_shown() {
     let explanation = explain("r1", &[log()]);
-    let context = &explanation.stories[0].context;
+    let context = &explanation.histories[0].context;
     assert_eq!(context.len(), 1);
     assert_eq!(context[0].event, "leaf overdue");
 }
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn broken_lines_are_counted_and_unknown_ids_said_to_be_so() {
+fn broken_lines_are_counted_and_unknown_ids_are_reported() {
     let explanation = explain("r9", &[log(), log()]);
-    assert!(explanation.stories.is_empty());
+    assert!(explanation.histories.is_empty());
     assert_eq!(explanation.broken_lines, 2);
     let text = explanation.to_string();
     assert!(text.contains("no line in these logs"), "{text}");
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn a_request_that_two_daemons_had_has_two_stories() {
+fn a_request_that_two_daemons_logged_has_two_histories() {
     let mut other = log();
     other.name = "daemon-2".to_owned();
     let explanation = explain("r1", &[log(), other]);
     let daemons: Vec<&str> = explanation
-        .stories
+        .histories
         .iter()
-        .map(|story| story.daemon.as_str())
+        .map(|history| history.daemon.as_str())
         .collect();
     assert_eq!(daemons, ["daemon-1", "daemon-2"]);
 }
@@ -118,10 +118,10 @@
         text: text.to_owned(),
     };
     let explanation = explain("r1", &[log]);
-    let Cause::Services { troubles, .. } = &explanation.stories[0].cause else {
-        panic!("unexpected cause {:?}", explanation.stories[0].cause);
+    let Cause::Services { problems, .. } = &explanation.histories[0].cause else {
+        panic!("unexpected cause {:?}", explanation.histories[0].cause);
     };
-    assert_eq!(troubles[0].under_trial, ["i-7 of v2 (trial)"]);
-    let told = explanation.to_string();
-    assert!(told.contains("under trial: i-7 of v2 (trial)"), "{told}");
+    assert_eq!(problems[0].under_trial, ["i-7 of v2 (trial)"]);
+    let text = explanation.to_string();
+    assert!(text.contains("under trial: i-7 of v2 (trial)"), "{text}");
 }
--- a/crates/tansylead-gateway/tests/request_trace.rs
+++ b/crates/tansylead-gateway/tests/request_trace.rs
@@ -32,7 +32,7 @@
         overdue,
         trial: None,
     };
-    trace.note(service, decision);
+    trace.record(service, decision);
 }
 
 fn end(trace: &RequestTrace, service: &ServiceName, end: AttemptEndKind, cause: EndCause) {
@@ -42,7 +42,7 @@
         cause,
         took: OVERDUE,
     };
-    trace.note(service, decision);
+    trace.record(service, decision);
 }
 
 fn answer(trace: &RequestTrace, service: &ServiceName) {
@@ -52,11 +52,11 @@
 
 fn overdue(trace: &RequestTrace, service: &ServiceName, is_sent: bool) {
     let leaf = leaf(service);
-    trace.note(service, Decision::Overdue { leaf, is_sent });
+    trace.record(service, Decision::Overdue { leaf, is_sent });
 }
 
 fn deny(trace: &RequestTrace, service: &ServiceName, reason: DenialReason) {
-    trace.note(service, Decision::Denied { reason });
+    trace.record(service, Decision::Denied { reason });
 }
 
 fn services(trace: &RequestTrace) -> Vec<String> {
@@ -65,8 +65,8 @@
     services
 }
 
-/// A query over 36 shards makes 72 decisions on healthy parts; the one part that went wrong is what
-/// has to be explained.
+/// A query over 36 shards makes 72 decisions on healthy parts, but only the part that went wrong needs an
+/// explanation.
 #[test]
 fn the_part_that_went_wrong_outlives_many_healthy_ones() {
     let trace = RequestTrace::default();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn decisions_of_parts_that_are_merely_open_make_way() {
+fn decisions_on_parts_that_are_merely_open_are_replaced() {
     let trace = RequestTrace::default();
     for number in 0..MAXIMUM_DECISIONS {
         start(&trace, &shard(number), AttemptReason::First);
