--- a/crates/tansylead-gateway/src/cluster/feed_client.rs
+++ b/crates/tansylead-gateway/src/cluster/feed_client.rs
@@ -38,7 +38,7 @@
 }
 
 impl PeerFeed {
-    /// A feed that polls nobody yet.
+    /// A feed that polls no peer yet.
     pub fn new(gateway: Rc<Gateway>, view: Rc<ClusterView>) -> Self {
         Self {
             gateway,
--- a/crates/tansylead-gateway/src/cluster/query_roots.rs
+++ b/crates/tansylead-gateway/src/cluster/query_roots.rs
@@ -211,7 +211,7 @@
         let _open = OpenQuery::begin(self);
         let sent = frames.send(bytes).await;
         // A root processes only complete messages, and this one was not written completely.
-        sent.map_err(|cause| ForwardError::NotSent(StepError::new("send query", &peer, cause)))?;
+        sent.map_err(|cause| ForwardError::NotSent(StepError::new("query root", &peer, cause)))?;
         let reply = match frames.next().await {
             Some(Ok(frame)) => decode(&frame, &peer).map_err(ForwardError::MaybeRun)?,
             Some(Err(cause)) => {
--- a/crates/tansylead-gateway/src/lib.rs
+++ b/crates/tansylead-gateway/src/lib.rs
@@ -1,7 +1,8 @@
 //! I/O layer of routed requests.
 //!
-//! One thread runs everything: the target machines have a fraction of one core and little memory. Decisions are in `tansylead-route` (requests) and `tansylead-cluster` (membership);
-//! this crate owns sockets, clocks and tasks.
+//! One thread runs everything: the target machines have a fraction of one core and little memory.
+//! Decisions are in `tansylead-route` (requests) and `tansylead-cluster` (membership); this crate owns
+//! sockets, clocks and tasks.
 //!
 //! The path of a request: `caller::server` accepts it, `caller::handler` finds the route and admits it,
 //! `execution::forward` or `execution::gather` runs it through `execution::call`, which obtains one
--- a/crates/tansylead-gateway/src/source.rs
+++ b/crates/tansylead-gateway/src/source.rs
@@ -20,7 +20,7 @@
     Leafs,
     /// Zones that are being emptied.
     Evacuations,
-    /// Orders to roll out, and how far each has come.
+    /// Orders to roll out, and the state of each.
     RollOuts,
 }
 
@@ -110,7 +110,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<SourceUpdate, SourceError>>;
 
-    /// Writes how far a roll-out has come, if order and state are still as in `roll_out`. After an error other
+    /// Writes the state of a roll-out, if order and state are still as in `roll_out`. After an error other
     /// than [`SourceError::Refused`] the write may have been done, or may be done later.
     fn write_roll_out_state(
         &self,
