--- a/crates/tansylead-gateway/src/execution/at_root.rs
+++ b/crates/tansylead-gateway/src/execution/at_root.rs
@@ -6,7 +6,7 @@
 
 use super::outcome::{Outcome, Refusal, RefusalReason};
 use crate::clock::Clock;
-use crate::cluster::{AskError, ForwardedQuery, ForwardedReply, RootPeer};
+use crate::cluster::{ForwardError, ForwardedQuery, ForwardedReply, RootPeer};
 use crate::leaf::OutgoingRequest;
 use crate::metrics::ForwardedResult;
 use crate::request_trace::RequestTrace;
@@ -59,7 +59,7 @@
             elapsed,
             self.time_left,
         );
-        let exchange = root.ask(query, objective.mul_f64(CONNECT_SHARE));
+        let exchange = root.forward(query, objective.mul_f64(CONNECT_SHARE));
         let wait_end = self.wait(&root, sent, exchange).await;
         self.finish(&root, sent, wait_end)
     }
@@ -82,7 +82,7 @@
         &self,
         root: &RootPeer,
         sent: Moment,
-        exchange: impl Future<Output = Result<ForwardedReply, AskError>>,
+        exchange: impl Future<Output = Result<ForwardedReply, ForwardError>>,
     ) -> WaitEnd {
         let policy = &self.route.policy;
         let objective = policy.objective;
@@ -129,7 +129,7 @@
                 }
             }
             WaitEnd::Replied {
-                reply: Err(AskError::NotSent(error)),
+                reply: Err(ForwardError::NotSent(error)),
                 ..
             } => {
                 log::debug!(error:% = error; "query not sent to root");
@@ -137,7 +137,7 @@
                 (ForwardedResult::NotSent, None)
             }
             WaitEnd::Replied {
-                reply: Err(AskError::MaybeRun(error)),
+                reply: Err(ForwardError::MaybeRun(error)),
                 ..
             } => {
                 log::info!(error:% = error; "root lost with a query");
@@ -159,7 +159,7 @@
 enum WaitEnd {
     /// A reply arrived or the connection ended.
     Replied {
-        reply: Result<ForwardedReply, AskError>,
+        reply: Result<ForwardedReply, ForwardError>,
         is_overdue: bool,
     },
     /// The root has answered no query since this one was sent.
--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -257,7 +257,7 @@
 
     /// Whether the directory was last confirmed longer ago than its entries are relied on.
     fn is_directory_stale(&self) -> bool {
-        let limit = self.settings.bounds.word_limit();
+        let limit = self.settings.bounds.staleness_limit();
         self.age(Topic::Leafs).is_some_and(|age| age > limit)
     }
 
