--- a/crates/tansylead-daemon/src/daemon.rs
+++ b/crates/tansylead-daemon/src/daemon.rs
@@ -138,7 +138,8 @@
 }
 
 impl Daemon {
-    /// Waits until all open queries are answered and others hold this daemon's claims.
+    /// Waits until all open queries are answered, and then, up to the handover limit, until others
+    /// hold this daemon's claims.
     async fn wait_until_drained(&mut self) {
         let _ = (&mut self.server).await;
         let handover = async {
--- a/crates/tansylead-daemon/src/http/error.rs
+++ b/crates/tansylead-daemon/src/http/error.rs
@@ -126,7 +126,7 @@
 pub struct ErrorBody {
     /// What is wrong.
     pub error: ErrorDetail,
-    /// `not_run`, or `unknown` where an earlier request with the same key may have run.
+    /// `not_run`, or `unknown` where this request or an earlier one with the same key may have run.
     pub outcome: Outcome,
     /// Time after which to retry, in milliseconds; absent if the same request can never succeed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
--- a/crates/tansylead-daemon/src/http/in_force.rs
+++ b/crates/tansylead-daemon/src/http/in_force.rs
@@ -1,5 +1,5 @@
 //! `GET /v1/in-force`: on which daemons a store revision is in force. Parameters: `revision`, and
-//! `wait_ms`, how long to wait for it.
+//! `wait_ms`, how long to wait until it is in force on all of them.
 
 use super::error::ApiError;
 use std::time::Duration;
--- a/crates/tansylead-daemon/src/http/server.rs
+++ b/crates/tansylead-daemon/src/http/server.rs
@@ -25,7 +25,7 @@
 pub struct ServerLimits {
     /// Time a caller may take to send its headers.
     pub header_read: Duration,
-    /// During a planned stop, a connection without requests for this long is closed.
+    /// During a planned stop, idle connections are closed once no query has arrived for this long.
     pub drain_idle: Duration,
     /// During a planned stop, connections are accepted for at least this long.
     pub drain_minimum: Duration,
--- a/crates/tansylead-daemon/src/status.rs
+++ b/crates/tansylead-daemon/src/status.rs
@@ -19,7 +19,7 @@
     pub zone: ZoneName,
     /// Address for other daemons.
     pub peer_address: SocketAddr,
-    /// Whether it accepts queries of callers.
+    /// Whether callers should send queries to it.
     pub readiness: Readiness,
     /// Number of running members as this daemon sees them, itself included.
     pub members: usize,
@@ -37,7 +37,8 @@
     pub services: BTreeMap<ServiceName, ServiceStatus>,
 }
 
-/// Whether a daemon accepts queries of callers.
+/// Whether callers should send queries to a daemon. One that is not ready may still accept them, as
+/// it does early in a planned stop.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Readiness {
     /// Whether it is ready.
--- a/crates/tansylead-daemon/src/tuning.rs
+++ b/crates/tansylead-daemon/src/tuning.rs
@@ -12,7 +12,7 @@
 pub struct Tuning {
     /// Mechanisms and sizes of the query engines; only experiments change them.
     pub engine: EngineTuning,
-    /// Idle connections to each leaf that a root tries to keep open.
+    /// Connections to each leaf, in use or idle, that a root tries to keep open ahead of need.
     pub warm_connections_per_leaf: usize,
     /// Time allowed for connecting to a leaf.
     pub leaf_connect_limit: Duration,
@@ -36,11 +36,11 @@
     pub forward_allowance_other_place: Duration,
     /// Maximum number of roots tried for one query.
     pub maximum_roots_tried: usize,
-    /// Burst that admission allows, as a duration at the admitted rate.
+    /// Burst that admission allows, as a duration at the rate that the root may admit.
     pub admission_burst: Duration,
     /// Maximum number of queries waiting for one root; more are refused as not run.
     pub maximum_waiting_commands: usize,
-    /// During a planned stop, a connection without requests for this long is closed.
+    /// During a planned stop, idle connections are closed once no query has arrived for this long.
     pub drain_idle: Duration,
     /// Minimum duration of a planned stop, so that all frontends learn of it; longer than
     /// [`Tuning::drain_root_hold`].
@@ -52,7 +52,7 @@
     pub drain_root_hold: Duration,
     /// During a planned stop, how long this daemon waits for others to take over its claims.
     pub claim_handover_limit: Duration,
-    /// Retry time given to callers if the engine states none.
+    /// Retry time used where no other is stated, for example without a configuration.
     pub default_retry_after: Duration,
     /// Time a caller may take to send its headers; idle connections are closed after it.
     pub header_read_limit: Duration,
