--- a/crates/tansylead-daemon/src/claims/execution.rs
+++ b/crates/tansylead-daemon/src/claims/execution.rs
@@ -1,5 +1,5 @@
 //! Executes a non-repeatable request as root, with at most one dispatch for a key. Repetitions get
-//! the answer that is held, or one that says what is not known.
+//! the kept answer; without one they get `unknown`, or `not_run` if it is certain that nothing ran.
 
 use super::acquire::{acquire, release};
 use super::service::{Claims, KeyOutcome};
@@ -12,7 +12,7 @@
 };
 use tansylead_types::{ClaimView, Moment, Outcome, QueryAnswer, RequestId, ServiceName, WallTime};
 
-/// Retry time given to callers that repeat a request in progress.
+/// Retry time given to callers whose key is in progress or cannot be accepted at the moment.
 const RETRY_AFTER_IN_PROGRESS: Duration = Duration::from_secs(1);
 /// Retry time given to callers when there are no claim members yet.
 const RETRY_AFTER_WITHOUT_VIEW: Duration = Duration::from_secs(2);
--- a/crates/tansylead-daemon/src/cluster/driver/in_force.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/in_force.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// When the next check is due.
+    /// When the first timer of the checks is due.
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
         let wakeups = self
             .pending
--- a/crates/tansylead-daemon/src/leaf/attempt.rs
+++ b/crates/tansylead-daemon/src/leaf/attempt.rs
@@ -193,8 +193,9 @@
         .ok()
 }
 
-/// Converts a complete reply into a result. Anything but a valid answer to or a valid refusal of
-/// this very attempt counts as failed: the leaf may have run it.
+/// Converts a complete reply into a result. Anything but a valid answer to this root or a valid
+/// refusal of this very attempt counts as failed: the leaf may have run it. The engine checks whether
+/// an answer belongs to the attempt.
 fn interpret_reply(context: &QueryContext, attempt: &SendAttempt, reply: &Reply) -> AttemptResult {
     match reply.status {
         StatusCode::OK => match serde_json::from_slice::<LeafAnswer>(&reply.body) {
--- a/crates/tansylead-daemon/src/leaf/pool.rs
+++ b/crates/tansylead-daemon/src/leaf/pool.rs
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Permits for the connections to open now so that `target` are idle or being opened.
+    /// Permits for the connections to open now so that `target` are open, in use or idle, or being
+    /// opened.
     pub fn permits_to_warm(&mut self, target: usize) -> Vec<OwnedSemaphorePermit> {
         self.idle.retain(|connection| !connection.is_closed());
         let present = self.open_connections().max(self.idle.len() + self.warming);
--- a/crates/tansylead-daemon/src/peers/link.rs
+++ b/crates/tansylead-daemon/src/peers/link.rs
@@ -23,7 +23,8 @@
 type FrameSink = SplitSink<FramedStream, bytes::Bytes>;
 type FrameSource = SplitStream<FramedStream>;
 
-/// A link ends when its peer has been silent for this long; the next call opens another.
+/// A link ends when its peer has acknowledged nothing, not even TCP keepalive probes, for this long;
+/// the next call opens another.
 pub(super) const LINK_SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Why a call on a link got no response.
--- a/crates/tansylead-daemon/src/peers/message.rs
+++ b/crates/tansylead-daemon/src/peers/message.rs
@@ -122,7 +122,8 @@
 pub struct ForwardedAnswer {
     /// The answer.
     pub answer: QueryAnswer,
-    /// Room of the root; `None` if the root itself was not asked.
+    /// Rates that show how many more queries the root could admit; `None` if the answer does not come
+    /// from the root's engine.
     pub report: Option<RootReport>,
 }
 
--- a/crates/tansylead-daemon/src/routing/routes.rs
+++ b/crates/tansylead-daemon/src/routing/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of all services that were requested from this daemon.
+//! Routes of all services, created when a service is first looked up.
 
 use super::service_routes::{RouteChoice, ServiceRoutes};
 use crate::clock::Clock;
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// Inputs of the routes.
+/// Dependencies of [`Routes`].
 #[derive(Debug)]
 pub struct RoutesParts {
     /// This daemon.
@@ -35,7 +35,7 @@
     pub drain: CancellationToken,
 }
 
-/// Routes of all services that were requested from this daemon.
+/// Routes of all services, created when a service is first looked up.
 #[derive(Debug)]
 pub struct Routes {
     parts: RoutesParts,
@@ -44,7 +44,7 @@
 }
 
 impl Routes {
-    /// Routes computed from these inputs.
+    /// Routes with these dependencies, of no service yet.
     pub fn new(parts: RoutesParts) -> Self {
         Self {
             parts,
--- a/crates/tansylead-daemon/src/routing/service_routes.rs
+++ b/crates/tansylead-daemon/src/routing/service_routes.rs
@@ -1,4 +1,5 @@
-//! Routes of one service, refreshed when the configuration or the members they follow from change.
+//! Routes of one service, computed from the configuration and the members, and refreshed when these
+//! change.
 
 use super::place_routes::{PlaceInputs, PlaceRoutes};
 use crate::cluster::MemberView;
