--- a/crates/tansylead-daemon/tests/non_repeatable.rs
+++ b/crates/tansylead-daemon/tests/non_repeatable.rs
@@ -57,7 +57,7 @@
     };
     tokio::time::timeout(TIMEOUT, converged)
         .await
-        .expect("settled");
+        .expect("converged");
     all
 }
 
--- a/crates/tansylead-daemon/tests/peers.rs
+++ b/crates/tansylead-daemon/tests/peers.rs
@@ -20,7 +20,8 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers a pull with its revision; revision 0 is never answered, 1 is counted when dropped.
+/// Answers a pull with its revision. Pulls of revision 0 are never answered; `dropped` counts those
+/// that were cancelled.
 #[derive(Default)]
 struct Handler {
     started: AtomicUsize,
--- a/crates/tansylead-daemon/tests/queries.rs
+++ b/crates/tansylead-daemon/tests/queries.rs
@@ -154,7 +154,7 @@
     };
     tokio::time::timeout(TIMEOUT, converged)
         .await
-        .expect("settled");
+        .expect("converged");
 }
 
 #[tokio::test]
