--- a/crates/tansylead-daemon/src/peers/link.rs
+++ b/crates/tansylead-daemon/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! Client side of one connection to a peer.
+//! A link: the task that owns the client side of one connection to a peer.
 
 use super::codec::{MAXIMUM_FRAME_BYTES, decode_message, encode_message, hello_codec};
 use super::message::{
@@ -23,7 +23,8 @@
 type FrameSink = SplitSink<FramedStream, bytes::Bytes>;
 type FrameSource = SplitStream<FramedStream>;
 
-/// A link ends when its peer has been silent for this long; the next call opens another.
+/// A link ends when its peer has acknowledged nothing, not even TCP keepalive probes, for this long;
+/// the next call opens another.
 pub(super) const LINK_SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Why a call on a link got no response.
