--- a/crates/tansylead-cli/src/exit_code.rs
+++ b/crates/tansylead-cli/src/exit_code.rs
@@ -21,7 +21,7 @@
     Unknown = 6,
     /// `serve`: stopped with requests still open.
     DrainIncomplete = 7,
-    /// No answer from the daemon or the store.
+    /// The daemon could not be reached, or the store could not be read or written.
     Unreachable = 8,
     /// `status`: the daemon is not ready.
     NotReady = 9,
--- a/crates/tansylead-cli/src/http_client.rs
+++ b/crates/tansylead-cli/src/http_client.rs
@@ -13,7 +13,7 @@
 /// Time limit for connecting.
 const CONNECT_LIMIT: Duration = Duration::from_secs(3);
 
-/// The daemon or the store could not be reached, so nothing was sent.
+/// The daemon could not be reached, so nothing was sent; or a read of the store failed, which changes nothing.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Unreachable(pub StepError);
--- a/crates/tansylead-cli/src/query_command.rs
+++ b/crates/tansylead-cli/src/query_command.rs
@@ -21,7 +21,7 @@
 /// Wait beyond the deadline, so that the daemon's own answer can arrive.
 const ANSWER_MARGIN: Duration = Duration::from_secs(5);
 /// Longest wait if no deadline is given.
-const MAX_WAIT: Duration = Duration::from_secs(120);
+const MAXIMUM_WAIT: Duration = Duration::from_secs(120);
 
 const EXAMPLES: &str = "\
 Examples:
@@ -98,7 +98,7 @@
     let body = serde_json::to_vec(&body)?.into();
     let path = format!("/v1/services/{service}/query");
     let deadline = matches.get_one::<u64>("deadline-ms");
-    let limit = deadline.map_or(MAX_WAIT, |&millis| {
+    let limit = deadline.map_or(MAXIMUM_WAIT, |&millis| {
         Duration::from_millis(millis) + ANSWER_MARGIN
     });
     let reply = exchange(daemon, Method::POST, &path, &headers(matches), body, limit).await?;
--- a/crates/tansylead-cli/src/table_commands/propose.rs
+++ b/crates/tansylead-cli/src/table_commands/propose.rs
@@ -1,5 +1,5 @@
-//! `tansylead table propose`: writes the changes to an edited table as a proposal based on what was
-//! pulled.
+//! `tansylead table propose`: writes an edited table to a proposal file, with the base that the table
+//! was pulled from.
 
 use super::arguments::{self, file_of, is_forced, store_of};
 use super::files;
--- a/crates/tansylead-http/src/connection.rs
+++ b/crates/tansylead-http/src/connection.rs
@@ -13,8 +13,8 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Default limit for a silent peer. It can be generous: requests have deadlines of their own, and after a network
-/// partition of a few seconds the answer may still arrive.
+/// Default limit for a peer that acknowledges nothing. It can be generous: requests have deadlines of their own, and
+/// after a network partition of a few seconds the answer may still arrive.
 const DEFAULT_SILENCE_LIMIT: Duration = Duration::from_secs(8);
 
 /// Limits and sizes of a connection to be opened.
@@ -22,8 +22,8 @@
 pub struct ConnectOptions {
     /// Time limit for connecting.
     pub connect_limit: Duration,
-    /// The connection is closed, in use or idle, once the peer has been silent this long. With `None` the operating
-    /// system decides.
+    /// The connection is closed, in use or idle, once the peer has acknowledged nothing, not even keepalive probes,
+    /// for this time. With `None` the operating system decides. A slow reply alone closes nothing.
     pub silence_limit: Option<Duration>,
     /// Size of the read buffer in bytes; `None` leaves it to the HTTP library.
     pub read_buffer_bytes: Option<usize>,
--- a/crates/tansylead-http/src/silence.rs
+++ b/crates/tansylead-http/src/silence.rs
@@ -7,14 +7,14 @@
 /// Unanswered keepalive probes after which an idle connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 /// Shortest keepalive interval that operating systems support.
-const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const MINIMUM_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Has the operating system close a connection whose peer acknowledges nothing for `limit`, whether data is in
 /// flight or the connection is idle. It probes idle connections for that.
 pub fn end_after_silence(stream: &TcpStream, limit: Duration) {
     let keepalive = TcpKeepalive::new()
-        .with_time((limit / 2).max(MIN_KEEPALIVE_INTERVAL))
-        .with_interval((limit / 4).max(MIN_KEEPALIVE_INTERVAL))
+        .with_time((limit / 2).max(MINIMUM_KEEPALIVE_INTERVAL))
+        .with_interval((limit / 4).max(MINIMUM_KEEPALIVE_INTERVAL))
         .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
     let result = socket
