--- a/crates/tansylead-emulator/src/answer_rules.rs
+++ b/crates/tansylead-emulator/src/answer_rules.rs
@@ -1,4 +1,4 @@
-//! Answers are those of the runs they name.
+//! Checks that each answer matches the runs whose signatures it carries.
 
 use crate::configuration::{RoutePlan, RouteTarget};
 use crate::oracle::{Run, SeenAnswer};
@@ -7,7 +7,7 @@
 /// Bytes of a record.
 const RECORD_BYTES: usize = 16;
 
-/// What an answer breaks. `runs` are all runs by their signatures.
+/// Returns the violation of an answer, if any. `runs` are all runs by signature.
 pub(crate) fn check_answer(
     runs: &HashMap<String, Run>,
     request: &str,
@@ -34,10 +34,10 @@
     let Some(run) = runs.get(signature) else {
         return Some(format!("MIXED: {request}: unknown signature {signature}"));
     };
-    let fits = run.request == request
+    let matches_run = run.request == request
         && run.status == answer.status
         && (!success || run.body == answer.body);
-    (!fits).then(|| {
+    (!matches_run).then(|| {
         format!(
             "MIXED: {request}: not the answer of its run at {}",
             run.leaf
@@ -68,11 +68,11 @@
         let Some(run) = runs.get(signature) else {
             return Some(format!("MIXED: {request}: unknown part {signature}"));
         };
-        let good = run.request == request
+        let is_valid = run.request == request
             && run.status == 200
             && shards.contains(&run.service)
             && services.insert(run.service.as_str());
-        if !good {
+        if !is_valid {
             return Some(format!(
                 "MIXED: {request}: part {signature} does not belong"
             ));
@@ -82,8 +82,8 @@
     records.sort_unstable();
     records.reverse();
     records.truncate(*top);
-    let covered = parts.len() as f64 >= minimum_coverage * shards.len() as f64 - 1e-9;
-    if parts.len() + answer.missing != shards.len() || !covered || parts.is_empty() {
+    let is_covered = parts.len() as f64 >= minimum_coverage * shards.len() as f64 - 1e-9;
+    if parts.len() + answer.missing != shards.len() || !is_covered || parts.is_empty() {
         return Some(format!(
             "MIXED: {request}: coverage is not true or too small"
         ));
--- a/crates/tansylead-emulator/src/arrival_rules.rs
+++ b/crates/tansylead-emulator/src/arrival_rules.rs
@@ -1,4 +1,4 @@
-//! Requests reach leafs more than once only within a budget.
+//! Checks that extra arrivals of requests at leafs stay within the retry budget.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::{Duration, Instant};
@@ -6,11 +6,11 @@
 /// Bound on arrivals beyond the first of each request.
 #[derive(Debug, Clone, Copy)]
 pub struct ArrivalBudget {
-    /// For each request.
+    /// Extra arrivals per request.
     pub ratio: f64,
-    /// Beyond the ratio.
+    /// Extra arrivals allowed beyond the ratio.
     pub slack: f64,
-    /// Window.
+    /// Window over which both are counted.
     pub window: Duration,
 }
 
@@ -21,7 +21,7 @@
     is_extra: bool,
 }
 
-/// What has reached leafs.
+/// All arrivals at leafs.
 #[derive(Debug, Default)]
 pub(crate) struct ArrivalRules {
     arrivals: Vec<Arrival>,
@@ -30,8 +30,8 @@
 }
 
 impl ArrivalRules {
-    /// Notes that a request reached a leaf of a service.
-    pub(crate) fn arrive(&mut self, request: &str, service: &str) {
+    /// Records that a request reached a leaf of a service.
+    pub(crate) fn record_arrival(&mut self, request: &str, service: &str) {
         let is_first = self
             .arrived
             .insert((request.to_owned(), service.to_owned()));
@@ -42,10 +42,10 @@
         });
     }
 
-    /// Services that got more than the budget.
+    /// Violations of services whose extra arrivals exceed the budget.
     pub(crate) fn violations(&self, budget: ArrivalBudget) -> Vec<String> {
         let services: BTreeSet<&str> = self.arrivals.iter().map(|a| a.service.as_str()).collect();
-        let broken = services.into_iter().filter(|service| {
+        let over_budget = services.into_iter().filter(|service| {
             let arrivals: Vec<&Arrival> = self
                 .arrivals
                 .iter()
@@ -53,14 +53,14 @@
                 .collect();
             exceeds(&arrivals, budget)
         });
-        broken
+        over_budget
             .map(|service| format!("BUDGET: extra arrivals at {service}"))
             .collect()
     }
 }
 
 fn exceeds(arrivals: &[&Arrival], budget: ArrivalBudget) -> bool {
-    let firsts = |from: Instant, until: Instant| {
+    let count_first_arrivals = |from: Instant, until: Instant| {
         let inside = arrivals
             .iter()
             .filter(|arrival| !arrival.is_extra && arrival.at >= from && arrival.at < until);
@@ -75,15 +75,15 @@
         if extra as f64 <= budget.slack {
             return false;
         }
-        // The users count the requests of the window, of the one before it, or of the one half a window before it,
-        // whichever has most.
-        let window_before = |by: Duration| match start.at.checked_sub(by) {
-            Some(from) => firsts(from, from + budget.window),
+        // The users count the requests of this window, of the one before it, or of the one that starts half a window
+        // earlier, whichever has most.
+        let requests_before = |offset: Duration| match start.at.checked_sub(offset) {
+            Some(from) => count_first_arrivals(from, from + budget.window),
             None => 0,
         };
-        let requests = firsts(start.at, until)
-            .max(window_before(budget.window))
-            .max(window_before(budget.window / 2));
+        let requests = count_first_arrivals(start.at, until)
+            .max(requests_before(budget.window))
+            .max(requests_before(budget.window / 2));
         extra as f64 > budget.ratio * requests as f64 + budget.slack
     })
 }
--- a/crates/tansylead-emulator/src/caller.rs
+++ b/crates/tansylead-emulator/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: one connection, kept for many requests; checks what it gets through the oracle.
+//! A caller that reuses one connection for many requests and has the oracle check its answers.
 
 use crate::configuration::{HOST, RoutePlan};
 use crate::fatal_rule::{FATAL_ITEM, is_fatal};
@@ -13,14 +13,14 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time beyond a request's deadline that a caller still waits, so that a late answer is seen.
-const SLACK: Duration = Duration::from_millis(700);
-/// Time for a connection.
+/// Time that a caller waits beyond a request's deadline, so that it sees late answers.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(700);
+/// Time limit for opening a connection.
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// An id that no other request of this process has.
+/// Returns a request id that is unique in this process.
 pub fn next_request_id() -> String {
     format!("{:016x}", NEXT_REQUEST.fetch_add(1, Ordering::Relaxed))
 }
@@ -34,7 +34,7 @@
     pub route: RoutePlan,
     /// Path behind the route's prefix.
     pub item: String,
-    /// Time the caller waits.
+    /// Deadline that the caller states.
     pub deadline: Duration,
     /// Body.
     pub body: Vec<u8>,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The same for one item of the route.
+    /// A request without a body for one item of the route.
     pub fn for_item(route: &RoutePlan, deadline: Duration, item: &str) -> Self {
         Self {
             item: item.to_owned(),
@@ -60,8 +60,8 @@
         }
     }
 
-    /// A request that ends each leaf which begins to run it; those of one number are the same one, whatever their
-    /// queries are.
+    /// A request that crashes each leaf that runs it. Requests with the same number count as the same one, whatever
+    /// their query strings are.
     pub fn fatal(route: &RoutePlan, deadline: Duration, number: u32) -> Self {
         let page = rand::random::<u32>();
         Self::for_item(
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a caller got, with all headers.
+/// An answer with all of its headers.
 #[derive(Debug)]
 pub struct CallerAnswer {
     /// Status.
@@ -99,36 +99,36 @@
         }
     }
 
-    /// Sends a request to a daemon and has its end checked.
+    /// Sends a request to a daemon and has the oracle check how it ended.
     pub async fn call(&mut self, daemon: SocketAddr, request: &CallerRequest) -> CallerEnd {
-        self.note(request);
-        let limit = request.deadline + SLACK;
+        self.record(request);
+        let limit = request.deadline + LATE_ANSWER_WAIT;
         let answer = tokio::time::timeout(limit, self.exchange(daemon, request)).await;
         let end = match answer {
-            Ok(Some(answer)) => CallerEnd::Answer(seen(&answer)),
+            Ok(Some(answer)) => CallerEnd::Answer(observe(&answer)),
             Ok(None) | Err(_) => {
                 self.connection = None;
-                CallerEnd::Nothing
+                CallerEnd::NoAnswer
             }
         };
-        self.oracle.end(&request.id, &end);
+        self.oracle.check_end(&request.id, &end);
         end
     }
 
-    /// Sends a request and leaves after `patience`, whatever has come.
+    /// Sends a request and disconnects after `caller_timeout`, answered or not.
     pub async fn call_and_leave(
         &mut self,
         daemon: SocketAddr,
         request: &CallerRequest,
-        patience: Duration,
+        caller_timeout: Duration,
     ) {
-        self.note(request);
-        let _ = tokio::time::timeout(patience, self.exchange(daemon, request)).await;
-        self.oracle.leave_request(&request.id);
+        self.record(request);
+        let _ = tokio::time::timeout(caller_timeout, self.exchange(daemon, request)).await;
+        self.oracle.record_abandoned(&request.id);
         self.connection = None;
     }
 
-    /// Sends a request and gives the answer as it is; for tests of single answers.
+    /// Sends a request and returns the answer unchecked; for tests of single answers.
     pub async fn exchange(
         &mut self,
         daemon: SocketAddr,
@@ -150,16 +150,16 @@
         self.send(daemon, built).await
     }
 
-    fn note(&self, request: &CallerRequest) {
-        self.oracle.ask(&request.id, &request.route);
+    fn record(&self, request: &CallerRequest) {
+        self.oracle.record_request(&request.id, &request.route);
         if is_fatal(&request.item) {
             let item = request.item.split('?').next().unwrap_or_default();
             let identity = format!("{}{item}", request.route.prefix());
-            self.oracle.ask_fatal(&request.id, identity);
+            self.oracle.record_fatal_request(&request.id, identity);
         }
     }
 
-    /// Sends any request.
+    /// Sends an arbitrary HTTP request.
     pub async fn send(
         &mut self,
         daemon: SocketAddr,
@@ -181,8 +181,8 @@
     }
 
     async fn connect(&mut self, daemon: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-        if let Some((kept, mut sender)) = self.connection.take()
-            && kept == daemon
+        if let Some((connected_to, mut sender)) = self.connection.take()
+            && connected_to == daemon
             && sender.ready().await.is_ok()
         {
             return Some(sender);
@@ -192,7 +192,7 @@
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
-            // The end of the connection shows where it is used.
+            // Errors of the connection surface at its sender.
             let _ = connection.await;
         });
         Some(sender)
@@ -204,7 +204,7 @@
     connection.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
-fn seen(answer: &CallerAnswer) -> SeenAnswer {
+fn observe(answer: &CallerAnswer) -> SeenAnswer {
     let header = |name: &str| {
         let value = answer.headers.get(name)?.to_str().ok()?;
         Some(value.to_owned())
--- a/crates/tansylead-emulator/src/cold_rule.rs
+++ b/crates/tansylead-emulator/src/cold_rule.rs
@@ -1,19 +1,19 @@
-//! A cold leaf gets few requests, from all daemons together.
+//! Checks that all daemons together send a cold leaf no more requests than it can take.
 
 use crate::configuration::COLD_REQUESTS_PER_SECOND;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Requests in one second by which a cold leaf may get more than it bears: the users' factor and
-/// slack.
+/// Factor and slack by which the requests of one second may exceed the rate of a cold leaf; both
+/// are given by the users.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
 /// The bound holds in each span of this length.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Time for all daemons to learn that a leaf is cold, with room for a busy machine.
-const LEARN_LIMIT: Duration = Duration::from_millis(3_500);
+/// Time for all daemons to learn that a leaf is cold, with slack for a busy machine.
+const PROPAGATION_LIMIT: Duration = Duration::from_millis(3_500);
 
-/// Time in which a leaf is cold and all daemons know it.
+/// Period in which a leaf is cold and all daemons know it.
 #[derive(Debug)]
 struct ColdSpan {
     leaf: String,
@@ -21,7 +21,7 @@
     until: Instant,
 }
 
-/// Cold leafs and what reached leafs.
+/// Cold periods and arrivals by leaf.
 #[derive(Debug, Default)]
 pub(crate) struct ColdRule {
     spans: Vec<ColdSpan>,
@@ -29,26 +29,26 @@
 }
 
 impl ColdRule {
-    /// Notes that a leaf said now that it is cold for a while.
-    pub(crate) fn turn_cold(&mut self, leaf: &str, length: Duration) {
+    /// Records that a leaf has just announced that it is cold for some time.
+    pub(crate) fn record_cold(&mut self, leaf: &str, duration: Duration) {
         let now = Instant::now();
         self.spans.push(ColdSpan {
             leaf: leaf.to_owned(),
-            from: now + LEARN_LIMIT,
-            until: now + length,
+            from: now + PROPAGATION_LIMIT,
+            until: now + duration,
         });
     }
 
-    /// Notes that a request reached a leaf.
-    pub(crate) fn arrive(&mut self, leaf: &str) {
+    /// Records that a request reached a leaf.
+    pub(crate) fn record_arrival(&mut self, leaf: &str) {
         let arrivals = self.arrivals.entry(leaf.to_owned()).or_default();
         arrivals.push(Instant::now());
     }
 
-    /// Cold leafs that got more than they bear.
+    /// Violations of cold leafs that got more than their rate.
     pub(crate) fn violations(&self) -> Vec<String> {
-        let broken = self.spans.iter().filter(|span| self.is_exceeded(span));
-        broken
+        let exceeded = self.spans.iter().filter(|span| self.is_exceeded(span));
+        exceeded
             .map(|span| format!("FAILBACK: {} got too much while cold", span.leaf))
             .collect()
     }
--- a/crates/tansylead-emulator/src/configuration.rs
+++ b/crates/tansylead-emulator/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations as the operator writes them.
+//! Configuration documents as the operator writes them.
 
 use serde_json::{Value, json};
 
@@ -6,15 +6,15 @@
 pub const HOST: &str = "tansylead.example";
 /// Idle time of callers' connections, in milliseconds.
 pub const IDLE_TIMEOUT_MILLIS: u64 = 8_000;
-/// Most bytes of headers.
+/// Maximum size of a request's headers.
 pub const MAXIMUM_HEADER_BYTES: usize = 8 * 1024;
-/// Most bytes of a body.
+/// Maximum size of a request's body.
 pub const MAXIMUM_BODY_BYTES: usize = 64 * 1024;
 
-/// Requests a second that a cold leaf bears from all daemons together.
+/// Requests per second that a cold leaf can take from all daemons together.
 pub const COLD_REQUESTS_PER_SECOND: f64 = 8.0;
 
-/// What a route's requests go to.
+/// Destination of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouteTarget {
     /// One leaf of one of these services, by weight.
@@ -23,9 +23,9 @@
     Shards {
         /// Shards.
         shards: Vec<String>,
-        /// Records in the answer.
+        /// Maximum number of records in the answer.
         top: usize,
-        /// Least share of shards.
+        /// Minimum share of shards that must answer.
         minimum_coverage: f64,
     },
 }
@@ -39,18 +39,18 @@
     pub target: RouteTarget,
     /// Whether requests may run more than once.
     pub safe: bool,
-    /// Longest time a request is held, in milliseconds.
+    /// Maximum time for a request, in milliseconds.
     pub timeout_millis: u64,
-    /// Time in which an answer has its full worth, in milliseconds.
+    /// Latency objective, in milliseconds.
     pub objective_millis: u64,
-    /// Most leafs a request may be sent to.
+    /// Maximum number of leafs that a request may be sent to.
     pub maximum_attempts: u32,
-    /// Regions whose leafs may serve its requests; any if there are none.
+    /// Regions whose leafs may serve its requests; all regions if empty.
     pub homes: Vec<String>,
 }
 
 impl RoutePlan {
-    /// The path that its requests begin with.
+    /// Prefix of its requests' paths.
     pub fn prefix(&self) -> String {
         format!("/{}/", self.name)
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// The document of one version.
+/// Builds the configuration document of a version.
 pub fn document(version: u64, routes: &[RoutePlan], maximum_connections: u32) -> Value {
     let mut names: Vec<&str> = routes.iter().flat_map(RoutePlan::services).collect();
     names.sort_unstable();
--- a/crates/tansylead-emulator/src/daemon.rs
+++ b/crates/tansylead-emulator/src/daemon.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Ports of a daemon on its address.
+/// Ports that a daemon listens on.
 const CALLER_PORT: u16 = 20_101;
 const READY_PORT: u16 = 20_102;
 const PEER_PORT: u16 = 20_103;
@@ -29,7 +29,7 @@
 }
 
 impl DaemonAddresses {
-    /// Addresses that nobody else has.
+    /// Returns unused addresses.
     pub fn next() -> Self {
         let ip = next_ip();
         Self {
@@ -41,26 +41,26 @@
     }
 }
 
-/// What a daemon is started with.
+/// Settings of a daemon.
 #[derive(Debug, Clone)]
 pub struct DaemonPlan {
-    /// Name, for files.
+    /// Name of its settings and log files.
     pub name: String,
     /// Zone.
     pub zone: String,
-    /// Zone and region of all zones.
+    /// All zones with their regions.
     pub regions: Vec<(String, String)>,
     /// Addresses.
     pub addresses: DaemonAddresses,
-    /// Where it reaches the store.
+    /// Address of the store.
     pub store: SocketAddr,
     /// Peer addresses to join through.
     pub seeds: Vec<SocketAddr>,
     /// Folder of its settings and logs.
     pub folder: PathBuf,
-    /// Program.
+    /// Executable.
     pub program: PathBuf,
-    /// Processor that the settings state, in cores.
+    /// Processor cores stated in the settings.
     pub processor_cores: f64,
 }
 
@@ -85,12 +85,12 @@
         Ok(daemon)
     }
 
-    /// What it was started with.
+    /// Its settings.
     pub fn plan(&self) -> &DaemonPlan {
         &self.plan
     }
 
-    /// Starts the process again, after it has ended or killing it before.
+    /// Restarts the process; kills it first if it still runs.
     pub fn restart(&mut self) -> io::Result<()> {
         self.kill();
         self.starts += 1;
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Logs of all of its lives, oldest first.
+    /// Log files of all of its runs, oldest first.
     pub fn logs(&self) -> Vec<PathBuf> {
         (1..=self.starts)
             .map(|start| self.log_path(start))
@@ -124,12 +124,12 @@
         self.signal(Signal::HUP);
     }
 
-    /// Stops the process without ending it.
+    /// Suspends the process with SIGSTOP.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a stopped process go on.
+    /// Resumes a suspended process.
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
@@ -137,14 +137,14 @@
     /// Kills the process.
     pub fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
-            // A process that has ended already cannot be killed.
+            // Fails if the process has already exited.
             let _ = process.kill();
             let _ = process.wait();
         }
     }
 
-    /// The exit status, once the process has ended by itself.
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    /// The exit status, once the process has exited by itself.
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.process.as_mut()?.try_wait().ok().flatten()
     }
 
@@ -152,7 +152,7 @@
         let process = self.process.as_ref();
         let pid = process.and_then(|process| Pid::from_raw(process.id() as i32));
         if let Some(pid) = pid {
-            // A process that has ended already cannot be signalled.
+            // Fails if the process has already exited.
             let _ = kill_process(pid, signal);
         }
     }
--- a/crates/tansylead-emulator/src/deployment.rs
+++ b/crates/tansylead-emulator/src/deployment.rs
@@ -8,7 +8,7 @@
 use crate::leaf_registry::LeafRegistry;
 use crate::oracle::{CallerEnd, Oracle};
 use crate::proxy::Proxy;
-use crate::restored_store::SharedOperatorWords;
+use crate::restored_store::SharedOperatorState;
 use crate::roll_out::RollOutTasks;
 use crate::routes::{Routes, further_service};
 use crate::store::StoreServer;
@@ -21,21 +21,21 @@
 use tempfile::TempDir;
 use tokio::time::Instant;
 
-/// Page of the store's lists: small, so that lists have several.
+/// Objects per page of the store's lists: few, so that lists have several pages.
 const STORE_PAGE: usize = 5;
-/// Connections a leaf accepts.
+/// Maximum number of connections that a leaf accepts.
 const LEAF_CONNECTIONS: u32 = 41;
-/// Work of a leaf on a request that goes to one leaf, unless a plan says otherwise.
+/// Default processing time of a request that goes to a single leaf.
 pub const SINGLE_WORK: Duration = Duration::from_millis(20);
-/// A leaf that a request has ended is away this long.
-const CRASHED_REST: Duration = Duration::from_millis(1_000);
-/// Period at which a condition is looked at.
+/// Delay before a leaf that a request has crashed is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(1_000);
+/// Polling period.
 const CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// Size of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentPlan {
-    /// Daemons, dealt out over the zones.
+    /// Number of daemons, distributed over the zones.
     pub daemons: usize,
     /// Zones; each is a region of its own.
     pub zones: Vec<String>,
@@ -43,13 +43,13 @@
     pub shards: usize,
     /// Services beside those of the query, lookup and post routes; each has two routes.
     pub further_services: usize,
-    /// Work of their leafs on one request.
+    /// Processing time of a request at their leafs.
     pub further_work: Duration,
-    /// Program of the daemons.
+    /// Executable of the daemons.
     pub program: PathBuf,
-    /// The seeds name daemons that are gone.
+    /// Whether all seeds are addresses of daemons that no longer run.
     pub stale_seeds: bool,
-    /// Daemons, from the first on, whose machines are larger than the others'.
+    /// Number of daemons, counted from the first, whose machines are larger than the others'.
     pub large_daemons: usize,
 }
 
@@ -60,9 +60,9 @@
     pub leaf: Option<Leaf>,
     /// Proxy.
     pub proxy: Proxy,
-    /// What the leaf is or was.
+    /// Settings of its last run.
     pub plan: LeafPlan,
-    /// Controls its last run.
+    /// Control of its last run.
     pub control: LeafControl,
 }
 
@@ -90,14 +90,14 @@
     pub routes: Routes,
     pub(crate) registry: LeafRegistry,
     pub(crate) roll_outs: RollOutTasks,
-    pub(crate) operator_words: SharedOperatorWords,
+    pub(crate) operator_state: SharedOperatorState,
     version: u64,
     next_leaf: u32,
     pub(crate) folder: TempDir,
 }
 
 impl Deployment {
-    /// Starts everything; daemons may not be ready yet.
+    /// Starts everything; does not wait until the daemons are ready.
     pub async fn start(plan: &DeploymentPlan) -> io::Result<Self> {
         let store = StoreServer::start(next_address(), STORE_PAGE).await?;
         let mut deployment = Self {
@@ -108,7 +108,7 @@
             routes: Routes::new(plan.shards, plan.further_services),
             registry: LeafRegistry::default(),
             roll_outs: RollOutTasks::default(),
-            operator_words: SharedOperatorWords::default(),
+            operator_state: SharedOperatorState::default(),
             version: 0,
             next_leaf: 1,
             folder: tempfile::tempdir()?,
@@ -139,7 +139,7 @@
         self.folder.path()
     }
 
-    /// Keeps settings and logs after the end, and tells where.
+    /// Keeps settings and logs after the end and returns their folder.
     pub fn keep_folder(mut self) -> PathBuf {
         self.folder.disable_cleanup(true);
         self.folder.path().to_owned()
@@ -149,18 +149,18 @@
     pub fn configure(&mut self, routes: &[RoutePlan]) -> u64 {
         self.version += 3;
         let spec = document(self.version, routes, LEAF_CONNECTIONS);
-        self.operator_words.lock().configuration = Some(spec.clone());
+        self.operator_state.lock().configuration = Some(spec.clone());
         self.store.put("config", "main", spec);
         self.version
     }
 
-    /// Starts one more leaf of the version that its service runs, behind a proxy of its own.
+    /// Starts another leaf of the version that its service runs, behind its own proxy.
     pub async fn add_leaf(&mut self, service: &str, zone: &str, work: Duration) -> io::Result<()> {
         let version = self.registry.version(service);
         self.add_leaf_of(service, zone, work, version).await
     }
 
-    /// Starts one more leaf of a version.
+    /// Starts another leaf of a given version.
     pub async fn add_leaf_of(
         &mut self,
         service: &str,
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    /// Starts a leaf again after a crash, as a new run at the old address, unless it was to end anyway.
+    /// Restarts a crashed leaf as a new run at the same address, unless it is retired.
     pub async fn restart_leaf(&mut self, index: usize) -> io::Result<()> {
         if self.leafs[index].control.is_retired() {
             return Ok(());
@@ -203,7 +203,7 @@
         self.start_run(index, id).await
     }
 
-    /// The same under the id that the leaf had, which its entry has kept meanwhile.
+    /// Restarts a crashed leaf under the same id, whose entry was kept meanwhile, unless it is retired.
     pub async fn restart_leaf_under_its_id(&mut self, index: usize) -> io::Result<()> {
         if self.leafs[index].control.is_retired() {
             return Ok(());
@@ -226,20 +226,20 @@
         Ok(())
     }
 
-    /// Starts the leafs again that requests have ended some time ago.
+    /// Restarts the leafs whose crash by a request is longer ago than the restart delay.
     pub async fn restart_crashed_leafs(&mut self) -> io::Result<()> {
         for index in 0..self.leafs.len() {
             let crashed = self.leafs[index].control.crashed_at();
-            if crashed.is_some_and(|at| at.elapsed() > CRASHED_REST) {
+            if crashed.is_some_and(|at| at.elapsed() > RESTART_DELAY) {
                 self.restart_leaf(index).await?;
             }
         }
         Ok(())
     }
 
-    /// Waits until no more leafs end because of requests that were sent before, and starts those again.
-    pub async fn rest_until_leafs_are_back(&mut self) -> io::Result<()> {
-        tokio::time::sleep(CRASHED_REST * 2).await;
+    /// Waits until requests that were sent before crash no more leafs, then restarts the crashed ones.
+    pub async fn wait_and_restart_crashed_leafs(&mut self) -> io::Result<()> {
+        tokio::time::sleep(RESTART_DELAY * 2).await;
         self.restart_crashed_leafs().await
     }
 
@@ -250,29 +250,29 @@
     }
 
     async fn start_leaf(&self, plan: &LeafPlan) -> io::Result<Leaf> {
-        self.oracle.start_leaf(&plan.id);
+        self.oracle.record_leaf_start(&plan.id);
         let started = Leaf::start(plan.clone(), self.store.clone(), self.oracle.clone());
         let leaf = started.await?;
         self.registry.add(leaf.control());
         Ok(leaf)
     }
 
-    /// Orders that nothing more be sent to the leafs of a zone.
+    /// Orders the evacuation of a zone: its leafs must get nothing more.
     pub fn evacuate(&self, zone: &str) {
-        let words = &self.operator_words;
-        words.lock().evacuations.insert(zone.to_owned());
+        let state = &self.operator_state;
+        state.lock().evacuations.insert(zone.to_owned());
         self.store.put("evacuations", zone, json!({}));
-        self.oracle.evacuate(zone);
+        self.oracle.record_evacuation(zone);
     }
 
-    /// Takes the order back.
+    /// Revokes the evacuation of a zone.
     pub fn end_evacuation(&self, zone: &str) {
-        self.operator_words.lock().evacuations.remove(zone);
-        self.oracle.end_evacuation(zone);
+        self.operator_state.lock().evacuations.remove(zone);
+        self.oracle.record_evacuation_end(zone);
         self.store.delete("evacuations", zone);
     }
 
-    /// Callers' addresses of all daemons.
+    /// Addresses of all daemons for callers.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let daemons = self.daemons.iter();
         daemons
@@ -294,7 +294,7 @@
         true
     }
 
-    /// One call to one daemon on a connection of its own.
+    /// Makes one call to a daemon on a new connection.
     pub async fn call(&self, daemon: usize, route: &RoutePlan) -> CallerEnd {
         let address = self.daemons[daemon].daemon.plan().addresses.caller;
         let deadline = Duration::from_millis(route.timeout_millis);
@@ -305,21 +305,21 @@
     }
 }
 
-/// Has a leaf's address refuse connections from the moment at which a request ends the leaf.
+/// Makes a leaf's address refuse connections as soon as a request crashes the leaf.
 fn close_at_crash(leaf: &LeafControl, proxy: &Proxy) {
     let (leaf, closed) = (leaf.clone(), proxy.closed());
     tokio::spawn(async move {
-        leaf.crashed().await;
+        leaf.wait_for_crash().await;
         closed.send_replace(true);
     });
 }
 
-/// Region of a zone: each zone is a region of its own.
+/// Region of a zone; each zone is its own region.
 pub fn region_of(zone: &str) -> String {
     format!("region-{zone}")
 }
 
-/// Whether a daemon calls itself ready.
+/// Whether a daemon reports itself ready.
 pub async fn is_ready(address: SocketAddr, oracle: &Oracle) -> bool {
     let request = hyper::Request::builder()
         .uri("/ready")
--- a/crates/tansylead-emulator/src/deployment_daemons.rs
+++ b/crates/tansylead-emulator/src/deployment_daemons.rs
@@ -1,4 +1,4 @@
-//! The daemons of a deployment, and what happens to their links.
+//! The daemons of a deployment and their links to the store and to leafs.
 
 use crate::addresses::next_address;
 use crate::daemon::{Daemon, DaemonAddresses, DaemonPlan};
@@ -8,9 +8,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What the settings say of large and of other machines, in cores; all run on the same one.
+/// Processor cores that the settings state for large and for other machines; all daemons run on the
+/// same machine.
 const LARGE_CORES: f64 = 0.5;
 const SMALL_CORES: f64 = 0.12;
+
 impl Deployment {
     /// Starts all daemons.
     pub(crate) async fn start_daemons(&mut self, plan: &DeploymentPlan) -> io::Result<()> {
@@ -25,15 +27,19 @@
         let seeds: Vec<SocketAddr> = if plan.stale_seeds {
             (0..SEEDS).map(|_| next_address()).collect()
         } else {
-            addresses.iter().take(SEEDS).map(|own| own.peer).collect()
+            addresses
+                .iter()
+                .take(SEEDS)
+                .map(|addresses| addresses.peer)
+                .collect()
         };
-        for (index, own) in addresses.into_iter().enumerate() {
+        for (index, own_addresses) in addresses.into_iter().enumerate() {
             let store_link = Proxy::start(next_address(), self.store.address()).await?;
             let daemon = Daemon::start(DaemonPlan {
                 name: format!("daemon-{index}"),
                 zone: plan.zones[index % plan.zones.len()].clone(),
                 regions: regions.clone(),
-                addresses: own,
+                addresses: own_addresses,
                 store: store_link.address(),
                 seeds: seeds.clone(),
                 folder: self.folder.path().to_owned(),
@@ -49,7 +55,7 @@
         Ok(())
     }
 
-    /// The daemon whose call that changes an object has passed last, and when.
+    /// The daemon that wrote to the store last, and when.
     pub fn last_writer(&self) -> Option<(usize, Instant)> {
         let daemons = self.daemons.iter().enumerate();
         let writers = daemons.filter_map(|(index, daemon)| {
@@ -59,9 +65,9 @@
         writers.max_by_key(|(_, at)| *at)
     }
 
-    /// Waits for the next write of a daemon to the store, and gives that daemon.
+    /// Waits for the next write of a daemon to the store and returns the daemon's index.
     pub async fn wait_for_writer(&self, limit: Duration) -> Option<usize> {
-        /// Short against the time in which the store answers.
+        /// Short compared with the store's response time.
         const PERIOD: Duration = Duration::from_millis(1);
         let from = Instant::now();
         while from.elapsed() < limit {
@@ -75,14 +81,14 @@
         None
     }
 
-    /// Silences all connections of daemons to the store that are open now, for good; new ones work.
+    /// Permanently silences all open connections from daemons to the store; new ones work.
     pub fn silence_store_links(&self) {
         for daemon in &self.daemons {
             daemon.store_link.silence_established();
         }
     }
 
-    /// Silences all connections of daemons to leafs that are open now, for good; new ones work.
+    /// Permanently silences all open connections from daemons to leafs; new ones work.
     pub fn silence_leaf_links(&self) {
         for leaf in &self.leafs {
             leaf.proxy.silence_established();
--- a/crates/tansylead-emulator/src/fatal_rule.rs
+++ b/crates/tansylead-emulator/src/fatal_rule.rs
@@ -1,70 +1,70 @@
-//! A request that ends each leaf which begins to run it must soon reach none any more; others must not be
-//! taken for such a one.
+//! Checks that a request that crashes every leaf that runs it soon reaches no more leafs, and that no other request
+//! is refused as such a one.
 
 use crate::observations::SeenAnswer;
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// How the last part of such a request's path begins.
+/// Prefix of the last path segment of such a request.
 pub const FATAL_ITEM: &str = "fatal-";
-/// Leafs after whose end a request is known to end leafs.
-const KNOWN_AFTER: usize = 3;
-/// Time in which all daemons must know of it.
-const CONTACT: Duration = Duration::from_secs(5);
-/// Requests that may reach leafs all the same.
-const TOLERATED: usize = 3;
-/// What the answer to a request says that was refused because leafs end under it.
+/// Number of crashed leafs after which a request is known to crash leafs.
+const CRASHES_UNTIL_KNOWN: usize = 3;
+/// Time in which all daemons must learn of it.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(5);
+/// Number of requests that may reach leafs even after that.
+const TOLERATED_REQUESTS: usize = 3;
+/// Text in the answer to a request that was refused because it crashes leafs.
 const REFUSAL: &[u8] = b"ends_leafs";
 
-/// Whether the leaf that runs a request with this path ends.
+/// Whether a request with this path crashes the leaf that runs it.
 pub(crate) fn is_fatal(path: &str) -> bool {
     let item = path.rsplit('/').next().unwrap_or(path);
     item.starts_with(FATAL_ITEM)
 }
 
-/// What is seen of such requests.
+/// Observations of such requests.
 #[derive(Debug, Default)]
 pub(crate) struct FatalRule {
     /// Identity of each request.
     identities: HashMap<String, String>,
-    /// When leafs ended, by identity.
-    ends: HashMap<String, Vec<Instant>>,
-    /// Requests that reached leafs, and when: only those sent while no fault struck daemons.
+    /// When leafs crashed, by identity.
+    crashes: HashMap<String, Vec<Instant>>,
+    /// Requests that reached leafs, and when; only while daemons were undisturbed by faults.
     arrivals: Vec<(Instant, String)>,
     arrived: HashSet<String>,
-    /// Faults that strike daemons and last.
+    /// Number of ongoing faults that affect daemons.
     core_faults: u32,
     core_fault_ended: Option<Instant>,
 }
 
 impl FatalRule {
-    /// Notes a request before it is sent.
-    pub(crate) fn ask(&mut self, request: &str, identity: String) {
+    /// Records a request before it is sent.
+    pub(crate) fn record_request(&mut self, request: &str, identity: String) {
         self.identities.insert(request.to_owned(), identity);
     }
 
-    /// Notes that a request reached a leaf.
-    pub(crate) fn arrive(&mut self, request: &str) {
+    /// Records that a request reached a leaf.
+    pub(crate) fn record_arrival(&mut self, request: &str) {
         if !self.identities.contains_key(request) {
             return;
         }
         self.arrived.insert(request.to_owned());
-        if self.is_in_touch() {
+        if self.is_undisturbed() {
             self.arrivals.push((Instant::now(), request.to_owned()));
         }
     }
 
-    /// Notes that a leaf has ended because of a request.
-    pub(crate) fn end_leaf(&mut self, request: &str) {
+    /// Records that a request has crashed a leaf.
+    pub(crate) fn record_crash(&mut self, request: &str) {
         if let Some(identity) = self.identities.get(request) {
-            let ends = self.ends.entry(identity.clone()).or_default();
-            ends.push(Instant::now());
+            let crashes = self.crashes.entry(identity.clone()).or_default();
+            crashes.push(Instant::now());
         }
     }
 
-    /// Leafs that have ended.
-    pub(crate) fn ended_leafs(&self) -> usize {
-        self.ends.values().map(Vec::len).sum()
+    /// Number of leafs that have crashed.
+    pub(crate) fn crashed_leafs(&self) -> usize {
+        self.crashes.values().map(Vec::len).sum()
     }
 
     /// Whether a request has reached a leaf.
@@ -72,12 +72,12 @@
         self.arrived.contains(request)
     }
 
-    /// Notes the beginning of a fault.
+    /// Records the start of a fault.
     pub(crate) fn begin_fault(&mut self, is_core: bool) {
         self.core_faults += u32::from(is_core);
     }
 
-    /// Notes the end of a fault.
+    /// Records the end of a fault.
     pub(crate) fn end_fault(&mut self, is_core: bool) {
         if is_core {
             self.core_faults = self.core_faults.saturating_sub(1);
@@ -85,41 +85,41 @@
         }
     }
 
-    fn is_in_touch(&self) -> bool {
-        let rested = self
+    fn is_undisturbed(&self) -> bool {
+        let has_recovered = self
             .core_fault_ended
-            .is_none_or(|ended| ended.elapsed() > CONTACT);
-        self.core_faults == 0 && rested
+            .is_none_or(|ended| ended.elapsed() > PROPAGATION_LIMIT);
+        self.core_faults == 0 && has_recovered
     }
 
-    /// Whether a request was refused as one that ends leafs, and is none.
+    /// Returns the violation of a request that was refused as one that crashes leafs although it does not.
     pub(crate) fn check_refusal(&self, request: &str, answer: &SeenAnswer) -> Option<String> {
         let is_refused = answer.status == 503
             && answer
                 .body
                 .windows(REFUSAL.len())
                 .any(|part| part == REFUSAL);
-        let is_innocent = !self.identities.contains_key(request);
-        (is_refused && is_innocent)
-            .then(|| format!("INNOCENT: {request} was refused as one that ends leafs"))
+        let is_harmless = !self.identities.contains_key(request);
+        (is_refused && is_harmless)
+            .then(|| format!("INNOCENT: {request} was refused as one that crashes leafs"))
     }
 
-    /// Requests that went on reaching leafs.
+    /// Violations of requests that continued to reach leafs.
     pub(crate) fn violations(&self) -> Vec<String> {
-        let broken = self.ends.iter().filter_map(|(identity, ends)| {
-            let known_from = *ends.get(KNOWN_AFTER - 1)? + CONTACT;
+        let violations = self.crashes.iter().filter_map(|(identity, crashes)| {
+            let known_from = *crashes.get(CRASHES_UNTIL_KNOWN - 1)? + PROPAGATION_LIMIT;
             let late = self.arrivals.iter().filter(|(at, request)| {
                 *at > known_from && self.identities.get(request) == Some(identity)
             });
             let requests: HashSet<&String> = late.map(|(_, request)| request).collect();
-            (requests.len() > TOLERATED).then(|| {
+            (requests.len() > TOLERATED_REQUESTS).then(|| {
                 format!(
-                    "FATAL: {identity} reached leafs in {} more requests; {} ended in all",
+                    "FATAL: {identity} reached leafs in {} more requests; {} crashed in all",
                     requests.len(),
-                    ends.len()
+                    crashes.len()
                 )
             })
         });
-        broken.collect()
+        violations.collect()
     }
 }
--- a/crates/tansylead-emulator/src/leaf.rs
+++ b/crates/tansylead-emulator/src/leaf.rs
@@ -1,4 +1,4 @@
-//! A leaf: works on a few requests at a time, registers itself, and misbehaves on request.
+//! A leaf: registers itself, runs a few requests at a time, and misbehaves when told to.
 
 use crate::addresses::bind;
 use crate::leaf_work::{LeafWork, serve};
@@ -14,60 +14,60 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// How a leaf misbehaves.
+/// Fault of a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum LeafTrouble {
-    /// It does not.
+pub enum LeafFault {
+    /// No fault.
     #[default]
     None,
-    /// It stands still for as long as this is set.
+    /// It answers nothing as long as this is set.
     Paused,
-    /// It works this many times as long.
+    /// Its processing time is multiplied by this factor.
     Slow(f64),
     /// It answers 500, with this probability.
     Fails(f64),
     /// It runs the request and closes the connection instead of answering, with this probability.
     LosesAnswers(f64),
-    /// It cuts its answer off, with this probability.
+    /// It truncates its answer, with this probability.
     CutsAnswers(f64),
-    /// It sends a second answer after a whole one, with this probability.
+    /// It sends its answer twice, with this probability.
     ExtraAnswers(f64),
-    /// It sends bytes that are no answer, with this probability.
+    /// It sends bytes that are not an HTTP response, with this probability.
     Garbles(f64),
-    /// It answers without a length, ended by the end of the connection, with this probability.
+    /// It answers without a content length and closes the connection after the body, with this probability.
     Unframed(f64),
-    /// It refuses everything as full.
+    /// It refuses every request as overloaded.
     Full,
 }
 
-/// What a leaf is.
+/// Settings of a leaf.
 #[derive(Debug, Clone)]
 pub struct LeafPlan {
-    /// Identity of this run.
+    /// Id of this run.
     pub id: String,
     /// Service.
     pub service: String,
     /// Zone.
     pub zone: String,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// Where daemons reach it.
+    /// Address that it advertises to daemons.
     pub advertised: SocketAddr,
-    /// Requests at a time.
+    /// Maximum number of requests that run at a time.
     pub slots: usize,
-    /// Work on one request.
+    /// Processing time of a request.
     pub work: Duration,
     /// Software version.
     pub version: LeafVersion,
 }
 
-/// A running leaf. Dropping it ends it without a word, as a crash does.
+/// A running leaf. Dropping it stops it unannounced, as a crash does.
 #[derive(Debug)]
 pub struct Leaf {
     control: LeafControl,
 }
 
-/// Controls a leaf from elsewhere, also after it has ended; clones share it.
+/// Handle to a leaf that stays valid after the leaf has stopped; clones share it.
 #[derive(Debug, Clone)]
 pub struct LeafControl {
     work: Arc<LeafWork>,
@@ -76,9 +76,9 @@
     connections: Arc<Mutex<Vec<JoinHandle<()>>>>,
     is_retired: Arc<AtomicBool>,
     /// Unix time of its start, in milliseconds.
-    born: u64,
-    /// What it last wrote of itself; none once it has taken its entry out.
-    written: Arc<Mutex<Option<Value>>>,
+    started_unix_millis: u64,
+    /// Its last entry in the store; none once it has removed it.
+    entry: Arc<Mutex<Option<Value>>>,
 }
 
 impl Leaf {
@@ -103,39 +103,39 @@
             accepting: accepting.abort_handle(),
             connections,
             is_retired: Arc::default(),
-            born: unix_millis(),
-            written: Arc::default(),
+            started_unix_millis: unix_millis(),
+            entry: Arc::default(),
         };
         control.register("ready", Duration::ZERO);
         let crashing = control.clone();
         tokio::spawn(async move {
-            crashing.work.crashed().await;
-            crashing.end();
+            crashing.work.wait_for_crash().await;
+            crashing.stop();
         });
         Ok(Self { control })
     }
 
-    /// Controls it, also after its end.
+    /// A handle that stays valid after the leaf has stopped.
     pub fn control(&self) -> LeafControl {
         self.control.clone()
     }
 
-    /// What it is.
+    /// Its settings.
     pub fn plan(&self) -> &LeafPlan {
         &self.control.work.plan
     }
 
-    /// Requests run so far.
+    /// Number of requests run so far.
     pub fn runs(&self) -> u64 {
         self.control.work.runs()
     }
 
-    /// Sets how it misbehaves.
-    pub fn set_trouble(&self, trouble: LeafTrouble) {
-        self.control.work.set_trouble(trouble);
+    /// Sets its fault.
+    pub fn set_fault(&self, fault: LeafFault) {
+        self.control.work.set_fault(fault);
     }
 
-    /// Says that it is leaving. It serves on until it is dropped.
+    /// Announces that it is leaving. It continues to serve until it is dropped.
     pub fn drain(&self) {
         self.control.drain();
     }
@@ -145,18 +145,18 @@
         self.control.unregister();
     }
 
-    /// Says that it is cold for a while, unless it was told to leave.
-    pub fn turn_cold(&self, length: Duration) {
+    /// Announces that it is cold for some time, unless it is retired.
+    pub fn announce_cold(&self, duration: Duration) {
         if self.control.is_retired() {
             return;
         }
-        self.control.register("ready", length);
+        self.control.register("ready", duration);
         let work = &self.control.work;
-        work.oracle.turn_cold(&work.plan.id, length);
+        work.oracle.record_cold(&work.plan.id, duration);
     }
 
-    /// Says that it is warm, unless it was told to leave.
-    pub fn turn_warm(&self) {
+    /// Announces that it is warm, unless it is retired.
+    pub fn announce_warm(&self) {
         if !self.control.is_retired() {
             self.control.register("ready", Duration::ZERO);
         }
@@ -164,64 +164,64 @@
 }
 
 impl LeafControl {
-    /// What the leaf is.
+    /// The leaf's settings.
     pub fn plan(&self) -> &LeafPlan {
         &self.work.plan
     }
 
-    /// Says that the leaf is leaving. It serves on until it ends.
+    /// Announces that the leaf is leaving. It continues to serve until it is stopped.
     pub fn drain(&self) {
         self.register("draining", Duration::ZERO);
-        self.work.oracle.leave(&self.work.plan.id);
+        self.work.oracle.record_draining(&self.work.plan.id);
     }
 
     /// Removes the leaf's entry from the store.
     pub fn unregister(&self) {
-        *self.written.lock() = None;
+        *self.entry.lock() = None;
         self.store.delete("servers", &self.work.plan.id);
     }
 
-    /// Whether it has an entry that it writes with each heartbeat.
+    /// Whether it has an entry in the store, which it rewrites with each heartbeat.
     pub fn is_registered(&self) -> bool {
-        self.written.lock().is_some()
+        self.entry.lock().is_some()
     }
 
-    /// Writes the entry again as it last was, as a leaf does with each heartbeat, unless it was taken out.
-    pub fn write_again(&self) {
-        if let Some(entry) = self.written.lock().clone() {
+    /// Rewrites its last entry, as a leaf does with each heartbeat, unless the entry was removed.
+    pub fn send_heartbeat(&self) {
+        if let Some(entry) = self.entry.lock().clone() {
             self.store.put("servers", &self.work.plan.id, entry);
         }
     }
 
-    /// Says that the leaf must not be started again once it has ended.
+    /// Marks the leaf as not to be restarted.
     pub fn retire(&self) {
         self.is_retired.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the leaf must not be started again.
+    /// Whether the leaf must not be restarted.
     pub fn is_retired(&self) -> bool {
         self.is_retired.load(Ordering::Relaxed)
     }
 
-    /// Waits until a request has ended the leaf.
-    pub async fn crashed(&self) {
-        self.work.crashed().await;
+    /// Waits until a request has crashed the leaf.
+    pub async fn wait_for_crash(&self) {
+        self.work.wait_for_crash().await;
     }
 
-    /// When a request ended the leaf, if one did.
+    /// When a request crashed the leaf, if one did.
     pub fn crashed_at(&self) -> Option<Instant> {
         self.work.crashed_at()
     }
 
-    /// Ends the leaf at once and gives the requests that were cut by that.
-    pub fn end(&self) -> Vec<String> {
-        *self.written.lock() = None;
-        let cut = self.work.in_progress();
+    /// Stops the leaf immediately and returns the requests that this interrupted.
+    pub fn stop(&self) -> Vec<String> {
+        *self.entry.lock() = None;
+        let interrupted = self.work.in_progress();
         self.accepting.abort();
         for connection in self.connections.lock().drain(..) {
             connection.abort();
         }
-        cut
+        interrupted
     }
 
     fn register(&self, state: &str, warmup_left: Duration) {
@@ -235,16 +235,16 @@
             "state": state,
             "warmup_left_ms": warmup_left.as_millis() as u64,
             "seq": 1,
-            "born": self.born,
+            "born": self.started_unix_millis,
         });
-        *self.written.lock() = Some(entry.clone());
+        *self.entry.lock() = Some(entry.clone());
         self.store.put("servers", &plan.id, entry);
     }
 }
 
 impl Drop for Leaf {
     fn drop(&mut self) {
-        self.control.end();
+        self.control.stop();
     }
 }
 
--- a/crates/tansylead-emulator/src/leaf_registry.rs
+++ b/crates/tansylead-emulator/src/leaf_registry.rs
@@ -1,4 +1,4 @@
-//! All leafs that were started, and the version that each service runs.
+//! Registry of the started leafs and of the version that each service runs.
 
 use crate::leaf::LeafControl;
 use crate::version::LeafVersion;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The leafs; clones share them.
+/// The registry; clones share it.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LeafRegistry {
     registered: Arc<Mutex<Registered>>,
@@ -32,32 +32,37 @@
         version.unwrap_or_else(LeafVersion::first)
     }
 
-    /// Notes that a service runs another version.
+    /// Sets the version that a service runs.
     pub(crate) fn set_version(&self, service: &str, version: LeafVersion) {
         let versions = &mut self.registered.lock().versions;
         versions.insert(service.to_owned(), version);
     }
 
-    /// Zone and work of each leaf of the version that a service runs.
-    pub(crate) fn places(&self, service: &str) -> Vec<(String, Duration)> {
+    /// Zone and processing time of each leaf of the version that a service runs.
+    pub(crate) fn zones_and_work(&self, service: &str) -> Vec<(String, Duration)> {
         let version = self.version(service).name;
         let registered = self.registered.lock();
         let leafs = registered.leafs.iter().map(LeafControl::plan);
-        let own = leafs.filter(|plan| plan.service == service && plan.version.name == version);
-        let mut places: Vec<_> = own.map(|plan| (plan.zone.clone(), plan.work)).collect();
-        // Leafs that were started again are registered with each of their runs.
-        places.sort();
-        places.dedup();
-        places
+        let current = leafs.filter(|plan| plan.service == service && plan.version.name == version);
+        let mut zones_and_work: Vec<_> =
+            current.map(|plan| (plan.zone.clone(), plan.work)).collect();
+        // A restarted leaf is registered once for each of its runs.
+        zones_and_work.sort();
+        zones_and_work.dedup();
+        zones_and_work
     }
 
-    /// Takes the leafs of a service out whose version is wanted, and marks them as not to be started again.
-    pub(crate) fn retire(&self, service: &str, wanted: impl Fn(&str) -> bool) -> Vec<LeafControl> {
+    /// Removes the leafs of a service with a matching version and marks them as not to be restarted.
+    pub(crate) fn retire(
+        &self,
+        service: &str,
+        matches_version: impl Fn(&str) -> bool,
+    ) -> Vec<LeafControl> {
         let mut registered = self.registered.lock();
         let leafs = std::mem::take(&mut registered.leafs);
         let (retired, kept) = leafs.into_iter().partition(|leaf: &LeafControl| {
             let plan = leaf.plan();
-            plan.service == service && wanted(&plan.version.name)
+            plan.service == service && matches_version(&plan.version.name)
         });
         registered.leafs = kept;
         for leaf in &retired {
--- a/crates/tansylead-emulator/src/leaf_request.rs
+++ b/crates/tansylead-emulator/src/leaf_request.rs
@@ -1,20 +1,20 @@
-//! Requests as a leaf reads them.
+//! Reads requests from a leaf's connections.
 
 use std::io;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Most bytes of a request's head.
+/// Maximum size of a request's head.
 const MAXIMUM_HEAD_BYTES: usize = 64 * 1024;
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAXIMUM_HEADERS: usize = 64;
 
-/// The parts of a request that a leaf looks at.
+/// The parts of a request that a leaf uses.
 #[derive(Debug, Default)]
 pub(crate) struct Request {
-    /// The caller's id.
+    /// Id of the request.
     pub(crate) id: Option<String>,
-    /// The run that is meant.
+    /// Id of the leaf run that the request is meant for.
     pub(crate) target: Option<String>,
     /// Path.
     pub(crate) path: String,
@@ -22,20 +22,20 @@
     head_bytes: usize,
 }
 
-/// Reads one request; none if the connection has ended. `buffer` keeps what was read beyond it.
+/// Reads one request; none if the connection has ended. `buffer` keeps the bytes read beyond it.
 pub(crate) async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> io::Result<Option<Request>> {
     loop {
         if let Some(request) = parse(buffer)? {
-            let whole = request.head_bytes + request.content_length;
-            while buffer.len() < whole {
+            let total_bytes = request.head_bytes + request.content_length;
+            while buffer.len() < total_bytes {
                 if stream.read_buf(buffer).await? == 0 {
                     return Ok(None);
                 }
             }
-            buffer.drain(..whole);
+            buffer.drain(..total_bytes);
             return Ok(Some(request));
         }
         if buffer.len() > MAXIMUM_HEAD_BYTES || stream.read_buf(buffer).await? == 0 {
--- a/crates/tansylead-emulator/src/leaf_work.rs
+++ b/crates/tansylead-emulator/src/leaf_work.rs
@@ -1,7 +1,7 @@
-//! What a leaf does with its requests: reads them, works, answers, and misbehaves as it was told.
+//! Request handling of a leaf: reads requests, runs and answers them, and applies its fault.
 
 use crate::fatal_rule::is_fatal;
-use crate::leaf::{LeafPlan, LeafTrouble};
+use crate::leaf::{LeafFault, LeafPlan};
 use crate::leaf_request::{Request, read_request};
 use crate::oracle::{Oracle, Run};
 use crate::version::VersionEffect;
@@ -18,37 +18,37 @@
 
 /// Bytes of a record.
 const RECORD_BYTES: usize = 16;
-/// Records in an answer.
-const RECORDS: usize = 12;
-/// Requests that wait for a slot; more are refused.
-const QUEUE: usize = 30;
-/// Requests within this time make the rate that a version may be sensitive to.
+/// Number of records in an answer.
+const RECORDS_PER_ANSWER: usize = 12;
+/// Maximum number of requests that wait for a slot; more are refused.
+const QUEUE_LIMIT: usize = 30;
+/// Window of the request rate that a version's failures may depend on.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What the connections of a leaf share.
+/// State shared by the connections of a leaf.
 #[derive(Debug)]
 pub(crate) struct LeafWork {
     pub(crate) plan: LeafPlan,
     pub(crate) oracle: Oracle,
-    trouble: Mutex<LeafTrouble>,
+    fault: Mutex<LeafFault>,
     slots: Semaphore,
     waiting: AtomicUsize,
     runs: AtomicU64,
     recent: Mutex<VecDeque<Instant>>,
-    /// Requests that were read and not answered yet, with the attempts of each.
+    /// Requests that are not answered yet, with the number of attempts of each.
     in_progress: Mutex<BTreeMap<String, usize>>,
-    /// When a request ended the leaf.
+    /// When a request crashed the leaf.
     crashed_at: watch::Sender<Option<Instant>>,
 }
 
 impl LeafWork {
-    /// A leaf without work.
+    /// State of a leaf that has no requests yet.
     pub(crate) fn new(plan: LeafPlan, oracle: Oracle) -> Self {
         Self {
             slots: Semaphore::new(plan.slots),
             plan,
             oracle,
-            trouble: Mutex::default(),
+            fault: Mutex::default(),
             waiting: AtomicUsize::new(0),
             runs: AtomicU64::new(0),
             recent: Mutex::default(),
@@ -57,42 +57,42 @@
         }
     }
 
-    /// Requests run so far.
+    /// Number of requests run so far.
     pub(crate) fn runs(&self) -> u64 {
         self.runs.load(Ordering::Relaxed)
     }
 
-    /// Sets how the leaf misbehaves.
-    pub(crate) fn set_trouble(&self, trouble: LeafTrouble) {
-        *self.trouble.lock() = trouble;
+    /// Sets the leaf's fault.
+    pub(crate) fn set_fault(&self, fault: LeafFault) {
+        *self.fault.lock() = fault;
     }
 
-    /// Waits until a request has ended the leaf.
-    pub(crate) async fn crashed(&self) {
+    /// Waits until a request has crashed the leaf.
+    pub(crate) async fn wait_for_crash(&self) {
         let mut crashed = self.crashed_at.subscribe();
-        // The sender lives as long as this does.
+        // Cannot fail: `self` keeps the sender alive.
         let _ = crashed.wait_for(Option::is_some).await.map(drop);
     }
 
-    /// When a request ended the leaf, if one did.
+    /// When a request crashed the leaf, if one did.
     pub(crate) fn crashed_at(&self) -> Option<Instant> {
         *self.crashed_at.borrow()
     }
 
-    /// Ends the leaf with whatever runs on it, because of a request.
+    /// Crashes the leaf with all of its requests, because of one request.
     fn crash(&self, request: &str) {
         if self.crashed_at().is_none() {
             self.crashed_at.send_replace(Some(Instant::now()));
-            self.oracle.end_leaf(request);
+            self.oracle.record_crash(request);
         }
     }
 
-    /// Requests that were read and not answered yet.
+    /// Requests that are not answered yet.
     pub(crate) fn in_progress(&self) -> Vec<String> {
         self.in_progress.lock().keys().cloned().collect()
     }
 
-    /// Counts one more request, and gives how many came within the window, with this one.
+    /// Counts a request and returns the number of requests within the window, including it.
     fn count_recent(&self) -> usize {
         let now = Instant::now();
         let mut recent = self.recent.lock();
@@ -107,7 +107,7 @@
     }
 }
 
-/// A request that is in progress until this is dropped.
+/// Guard that keeps a request in progress until it is dropped.
 struct InProgress<'a> {
     leaf: &'a LeafWork,
     id: &'a str,
@@ -132,8 +132,8 @@
     }
 }
 
-/// Whether the connection goes on after an answer.
-type GoesOn = bool;
+/// Whether the connection is kept open after an answer.
+type KeepsAlive = bool;
 
 /// Serves one connection.
 pub(crate) async fn serve(leaf: Arc<LeafWork>, mut stream: TcpStream) {
@@ -147,7 +147,11 @@
     }
 }
 
-async fn answer(leaf: &LeafWork, stream: &mut TcpStream, request: &Request) -> io::Result<GoesOn> {
+async fn answer(
+    leaf: &LeafWork,
+    stream: &mut TcpStream,
+    request: &Request,
+) -> io::Result<KeepsAlive> {
     let plan = &leaf.plan;
     let Some(id) = &request.id else {
         return refuse(stream, "400 Bad Request", "", "Not-Executed: 1\r\n").await;
@@ -160,12 +164,12 @@
         let instance = format!("Instance-Id: {}\r\n", plan.id);
         return refuse(stream, "421 Misdirected Request", id, &instance).await;
     }
-    leaf.oracle.arrive(id, plan);
+    leaf.oracle.record_arrival(id, plan);
     let _in_progress = InProgress::new(leaf, id);
     let effect = plan.version.effect(&request.path, leaf.count_recent());
-    let trouble = *leaf.trouble.lock();
-    let is_full = leaf.waiting.load(Ordering::Relaxed) >= QUEUE;
-    if trouble == LeafTrouble::Full || is_full {
+    let fault = *leaf.fault.lock();
+    let is_full = leaf.waiting.load(Ordering::Relaxed) >= QUEUE_LIMIT;
+    if fault == LeafFault::Full || is_full {
         return refuse(stream, "503 Service Unavailable", id, "Not-Executed: 1\r\n").await;
     }
     leaf.waiting.fetch_add(1, Ordering::Relaxed);
@@ -174,31 +178,26 @@
     let Ok(_slot) = slot else {
         return Ok(false);
     };
-    let (signature, run) = start_run(leaf, id, trouble, effect);
-    work(leaf, trouble, effect).await;
+    let (signature, run) = start_run(leaf, id, fault, effect);
+    work(leaf, fault, effect).await;
     if is_fatal(&request.path) {
         leaf.crash(id);
         return Ok(false);
     }
     if effect.is_bad() {
-        leaf.oracle.answer_badly(plan);
+        leaf.oracle.record_bad_answer(plan);
     }
-    send(stream, id, &signature, &run, trouble).await
+    send(stream, id, &signature, &run, fault).await
 }
 
-fn start_run(
-    leaf: &LeafWork,
-    id: &str,
-    trouble: LeafTrouble,
-    effect: VersionEffect,
-) -> (String, Run) {
+fn start_run(leaf: &LeafWork, id: &str, fault: LeafFault, effect: VersionEffect) -> (String, Run) {
     let plan = &leaf.plan;
     let number = leaf.runs.fetch_add(1, Ordering::Relaxed);
-    let fails = effect.fails || matches!(trouble, LeafTrouble::Fails(share) if happens(share));
+    let fails = effect.fails || matches!(fault, LeafFault::Fails(share) if draw_bool(share));
     let body = if fails {
         b"failed".to_vec()
     } else {
-        rand::random::<[[u8; RECORD_BYTES]; RECORDS]>().concat()
+        rand::random::<[[u8; RECORD_BYTES]; RECORDS_PER_ANSWER]>().concat()
     };
     let run = Run {
         request: id.to_owned(),
@@ -211,19 +210,19 @@
         at: Instant::now(),
     };
     let signature = format!("{}.{number}", plan.id);
-    leaf.oracle.run(&signature, run.clone());
+    leaf.oracle.record_run(&signature, run.clone());
     (signature, run)
 }
 
-async fn work(leaf: &LeafWork, trouble: LeafTrouble, effect: VersionEffect) {
+async fn work(leaf: &LeafWork, fault: LeafFault, effect: VersionEffect) {
     const PAUSE_CHECK: Duration = Duration::from_millis(5);
-    let factor = match trouble {
-        LeafTrouble::Slow(factor) => factor,
+    let factor = match fault {
+        LeafFault::Slow(factor) => factor,
         _ => 1.0,
     };
-    let time = leaf.plan.work.mul_f64(factor * effect.slow_by);
+    let time = leaf.plan.work.mul_f64(factor * effect.latency_factor);
     tokio::time::sleep(time).await;
-    while *leaf.trouble.lock() == LeafTrouble::Paused {
+    while *leaf.fault.lock() == LeafFault::Paused {
         tokio::time::sleep(PAUSE_CHECK).await;
     }
 }
@@ -233,8 +232,8 @@
     id: &str,
     signature: &str,
     run: &Run,
-    trouble: LeafTrouble,
-) -> io::Result<GoesOn> {
+    fault: LeafFault,
+) -> io::Result<KeepsAlive> {
     let reason = if run.status == 200 {
         "OK"
     } else {
@@ -245,23 +244,23 @@
         run.status
     );
     let framed = format!("{start}Content-Length: {}\r\n\r\n", run.body.len());
-    match trouble {
-        LeafTrouble::LosesAnswers(share) if happens(share) => Ok(false),
-        LeafTrouble::CutsAnswers(share) if happens(share) => {
+    match fault {
+        LeafFault::LosesAnswers(share) if draw_bool(share) => Ok(false),
+        LeafFault::CutsAnswers(share) if draw_bool(share) => {
             stream.write_all(framed.as_bytes()).await?;
             stream.write_all(&run.body[..run.body.len() / 2]).await?;
             Ok(false)
         }
-        LeafTrouble::Garbles(share) if happens(share) => {
+        LeafFault::Garbles(share) if draw_bool(share) => {
             stream.write_all(b"\x00\x01 no answer \r\n\r\n").await?;
             Ok(false)
         }
-        LeafTrouble::Unframed(share) if happens(share) => {
+        LeafFault::Unframed(share) if draw_bool(share) => {
             stream.write_all(format!("{start}\r\n").as_bytes()).await?;
             stream.write_all(&run.body).await?;
             Ok(false)
         }
-        LeafTrouble::ExtraAnswers(share) if happens(share) => {
+        LeafFault::ExtraAnswers(share) if draw_bool(share) => {
             let whole = [framed.as_bytes(), &run.body].concat();
             stream.write_all(&whole).await?;
             let pause = Duration::from_millis(rand::random_range(0..5));
@@ -277,12 +276,17 @@
     }
 }
 
-async fn refuse(stream: &mut TcpStream, status: &str, id: &str, extra: &str) -> io::Result<GoesOn> {
+async fn refuse(
+    stream: &mut TcpStream,
+    status: &str,
+    id: &str,
+    extra: &str,
+) -> io::Result<KeepsAlive> {
     let text = format!("HTTP/1.1 {status}\r\nRequest-Id: {id}\r\n{extra}Content-Length: 0\r\n\r\n");
     stream.write_all(text.as_bytes()).await?;
     Ok(true)
 }
 
-fn happens(share: f64) -> bool {
+fn draw_bool(share: f64) -> bool {
     rand::rng().random_bool(share.clamp(0.0, 1.0))
 }
--- a/crates/tansylead-emulator/src/lib.rs
+++ b/crates/tansylead-emulator/src/lib.rs
@@ -1,9 +1,9 @@
 //! Emulator of the users' platform, written from its protocol page.
 //!
-//! It runs the real daemons as separate processes on loopback addresses and plays everything
+//! It runs the real daemons as separate processes on loopback addresses and emulates everything
 //! around them: the store of configuration and leafs, the leafs, the callers, and faults injected
-//! from outside. An oracle checks what callers and leafs see. The words of the platform's protocol
-//! stand here on purpose: this is the other side of it.
+//! from outside. An oracle checks what callers and leafs see. The terms of the platform's protocol
+//! are used on purpose: this is the other side of it.
 
 pub mod addresses;
 mod answer_rules;
--- a/crates/tansylead-emulator/src/main.rs
+++ b/crates/tansylead-emulator/src/main.rs
@@ -29,11 +29,11 @@
         .about("Runs real daemons under random faults and checks what callers and leafs see")
         .arg(number("seed", "First seed").default_value("1"))
         .arg(number("runs", "Runs, each with the next seed").default_value("1"))
-        .arg(number("seconds", "Length of a run, in seconds").default_value("30"));
+        .arg(number("seconds", "Duration of a run, in seconds").default_value("30"));
     let demo = Command::new("demo")
-        .about("Shows a deployment that serves callers while things break around it");
+        .about("Shows a deployment that serves callers while faults are injected");
     let roll_outs = Command::new("roll-outs")
-        .about("Plays many roll-outs, several services at once, and prints how they ended")
+        .about("Runs many roll-outs, several services at once, and prints how they ended")
         .arg(number("seed", "Seed of the first deployment").default_value("1"))
         .arg(number("runs", "Roll-outs").default_value("60"))
         .arg(number("services", "Services rolled out at once").default_value("6"))
@@ -68,7 +68,7 @@
         .arg(
             Arg::new("program")
                 .long("program")
-                .help("Program of the daemons")
+                .help("Executable of the daemons")
                 .value_parser(value_parser!(PathBuf))
                 .default_value("target/release/tansylead-platform"),
         )
@@ -98,13 +98,13 @@
     let counts = report.counts;
     println!(
         "{} asked, {} served, {} of them partial, {} failed, {} without an answer",
-        counts.asked, counts.served, counts.partial, counts.failed, counts.nothing
+        counts.asked, counts.served, counts.partial, counts.failed, counts.unanswered
     );
     for violation in &report.violations {
         println!("{violation}");
     }
-    eyre::ensure!(report.violations.is_empty(), "a promise was broken");
-    println!("every answer was checked: no promise was broken");
+    eyre::ensure!(report.violations.is_empty(), "a guarantee was violated");
+    println!("every answer was checked: no guarantee was violated");
     Ok(())
 }
 
@@ -117,18 +117,18 @@
 
 async fn soak(matches: &ArgMatches) -> eyre::Result<()> {
     let plan = plan(matches);
-    let length = Duration::from_secs(value(matches, "seconds"));
-    let mut broken = 0;
+    let duration = Duration::from_secs(value(matches, "seconds"));
+    let mut failed_runs = 0;
     let first = value(matches, "seed");
     for seed in first..first + value(matches, "runs") {
-        let report = soak::run(&plan, seed, length).await;
+        let report = soak::run(&plan, seed, duration).await;
         let report = report.wrap_err_with(|| format!("soak with seed {seed}"))?;
         if !report.violations.is_empty() {
-            broken += 1;
+            failed_runs += 1;
         }
         print(&report);
     }
-    eyre::ensure!(broken == 0, "{broken} runs broke a promise");
+    eyre::ensure!(failed_runs == 0, "{failed_runs} runs violated a guarantee");
     Ok(())
 }
 
@@ -144,13 +144,16 @@
         deployments_at_once: value(matches, "at-once") as usize,
     };
     let reports = roll_out_runs::run(&plan, print_runs).await;
-    let reports = reports.wrap_err("play the roll-outs")?;
+    let reports = reports.wrap_err("run the roll-outs")?;
     print!("{}", table(&reports));
-    let broken = reports
+    let failed_runs = reports
         .iter()
         .filter(|report| !report.violations.is_empty());
-    let broken = broken.count();
-    eyre::ensure!(broken == 0, "{broken} deployments broke a promise");
+    let failed_runs = failed_runs.count();
+    eyre::ensure!(
+        failed_runs == 0,
+        "{failed_runs} deployments violated a guarantee"
+    );
     Ok(())
 }
 
@@ -166,9 +169,9 @@
 }
 
 fn print_violations(violations: &[String]) {
-    /// More of them say little that is new.
-    const MOST: usize = 20;
-    for violation in violations.iter().take(MOST) {
+    /// Further violations rarely add information.
+    const PRINTED_VIOLATIONS: usize = 20;
+    for violation in violations.iter().take(PRINTED_VIOLATIONS) {
         println!("  {violation}");
     }
 }
@@ -183,7 +186,7 @@
         counts.served,
         counts.partial,
         counts.failed,
-        counts.nothing,
+        counts.unanswered,
         report.violations.len(),
     );
     if let Some(folder) = &report.folder {
--- a/crates/tansylead-emulator/src/observations.rs
+++ b/crates/tansylead-emulator/src/observations.rs
@@ -1,15 +1,15 @@
-//! What callers and leafs tell the oracle.
+//! Observations that callers and leafs report to the oracle.
 
 use std::time::Instant;
 
 /// One request run by a leaf.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// The caller's id.
+    /// Id of the request.
     pub request: String,
     /// Service of the leaf.
     pub service: String,
-    /// Leaf.
+    /// Id of the leaf.
     pub leaf: String,
     /// Software version of the leaf.
     pub version: String,
@@ -30,9 +30,9 @@
     pub status: u16,
     /// The leaf's signature.
     pub signature: Option<String>,
-    /// Signatures of parts.
+    /// Signatures of the parts of a merged answer.
     pub parts: Option<Vec<String>>,
-    /// Shards said to be missing.
+    /// Number of shards that the answer reports as missing.
     pub missing: usize,
     /// Body.
     pub body: Vec<u8>,
@@ -43,6 +43,6 @@
 pub enum CallerEnd {
     /// With an answer.
     Answer(SeenAnswer),
-    /// Without one: the connection ended or the time was up.
-    Nothing,
+    /// Without an answer: the connection ended or the caller timed out.
+    NoAnswer,
 }
--- a/crates/tansylead-emulator/src/oracle.rs
+++ b/crates/tansylead-emulator/src/oracle.rs
@@ -1,4 +1,4 @@
-//! What callers and leafs have seen, and which promises that breaks.
+//! Collects what callers and leafs observe and finds violations of the platform's guarantees.
 
 use crate::answer_rules::check_answer;
 use crate::arrival_rules::{ArrivalBudget, ArrivalRules};
@@ -17,15 +17,15 @@
 pub use crate::observations::{CallerEnd, Run, SeenAnswer};
 
 #[derive(Debug)]
-struct Asked {
+struct RequestRecord {
     route: RoutePlan,
-    /// Its caller has got an answer, or has left.
-    is_over: bool,
+    /// Whether its caller has got an answer or has left.
+    is_finished: bool,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
-    asked: HashMap<String, Asked>,
+struct Observations {
+    requests: HashMap<String, RequestRecord>,
     runs: HashMap<String, Run>,
     arrivals: ArrivalRules,
     draining: HashMap<String, Instant>,
@@ -38,10 +38,10 @@
     counts: Counts,
 }
 
-/// Numbers of requests by end.
+/// Number of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests asked.
+    /// Requests sent by callers.
     pub asked: u64,
     /// Successes.
     pub served: u64,
@@ -49,160 +49,160 @@
     pub partial: u64,
     /// Other answers.
     pub failed: u64,
-    /// No answer.
-    pub nothing: u64,
+    /// Requests without an answer.
+    pub unanswered: u64,
 }
 
-/// Collects what is seen; clones share it.
+/// Collects observations; clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct Oracle {
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<Observations>>,
 }
 
 impl Oracle {
-    /// Notes a request before it is sent.
-    pub fn ask(&self, request: &str, route: &RoutePlan) {
+    /// Records a request before it is sent.
+    pub fn record_request(&self, request: &str, route: &RoutePlan) {
         let mut seen = self.seen.lock();
         seen.counts.asked += 1;
-        let asked = Asked {
+        let record = RequestRecord {
             route: route.clone(),
-            is_over: false,
+            is_finished: false,
         };
-        seen.asked.insert(request.to_owned(), asked);
+        seen.requests.insert(request.to_owned(), record);
     }
 
-    /// Notes that a caller leaves before its request has ended.
-    pub fn leave_request(&self, request: &str) {
+    /// Records that a caller disconnects before its request has ended.
+    pub fn record_abandoned(&self, request: &str) {
         self.seen.lock().end_request(request);
     }
 
-    /// Notes that a request reached a leaf, run or not.
-    pub fn arrive(&self, request: &str, leaf: &LeafPlan) {
+    /// Records that a request reached a leaf, whether it was run or not.
+    pub fn record_arrival(&self, request: &str, leaf: &LeafPlan) {
         let mut seen = self.seen.lock();
-        seen.cold.arrive(&leaf.id);
-        seen.fatal.arrive(request);
-        seen.arrivals.arrive(request, &leaf.service);
-        seen.roll_outs.arrive(request, leaf);
+        seen.cold.record_arrival(&leaf.id);
+        seen.fatal.record_arrival(request);
+        seen.arrivals.record_arrival(request, &leaf.service);
+        seen.roll_outs.record_arrival(request, leaf);
     }
 
-    /// Notes that a request is one that ends leafs, before it is sent.
-    pub fn ask_fatal(&self, request: &str, identity: String) {
-        self.seen.lock().fatal.ask(request, identity);
+    /// Records that a request crashes leafs, before it is sent.
+    pub fn record_fatal_request(&self, request: &str, identity: String) {
+        self.seen.lock().fatal.record_request(request, identity);
     }
 
-    /// Notes that a leaf has ended because of a request.
-    pub fn end_leaf(&self, request: &str) {
-        self.seen.lock().fatal.end_leaf(request);
+    /// Records that a request has crashed a leaf.
+    pub fn record_crash(&self, request: &str) {
+        self.seen.lock().fatal.record_crash(request);
     }
 
-    /// Leafs that have ended because of requests.
-    pub fn ended_leafs(&self) -> usize {
-        self.seen.lock().fatal.ended_leafs()
+    /// Number of leafs that requests have crashed.
+    pub fn crashed_leafs(&self) -> usize {
+        self.seen.lock().fatal.crashed_leafs()
     }
 
-    /// Whether a request has reached a leaf.
+    /// Whether a request that crashes leafs has reached one.
     pub fn has_arrived(&self, request: &str) -> bool {
         self.seen.lock().fatal.has_arrived(request)
     }
 
-    /// Notes an answer that is bad because of the leaf's version.
-    pub fn answer_badly(&self, leaf: &LeafPlan) {
-        self.seen.lock().roll_outs.answer_badly(leaf);
+    /// Records an answer that is bad because of the leaf's version.
+    pub fn record_bad_answer(&self, leaf: &LeafPlan) {
+        self.seen.lock().roll_outs.record_bad_answer(leaf);
     }
 
-    /// Notes an order to roll out. Earlier ones for the same service no longer stand.
-    pub fn order_roll_out(&self, order: RollOutOrder) -> RollOutId {
-        self.seen.lock().roll_outs.order(order)
+    /// Records an order to roll out. It supersedes earlier ones for the same service.
+    pub fn record_order(&self, order: RollOutOrder) -> RollOutId {
+        self.seen.lock().roll_outs.record_order(order)
     }
 
-    /// Notes that an order to roll out is taken back.
-    pub fn supersede_roll_out(&self, id: RollOutId) {
-        self.seen.lock().roll_outs.supersede(id);
+    /// Records that an order to roll out is replaced or revoked.
+    pub fn record_superseded(&self, id: RollOutId) {
+        self.seen.lock().roll_outs.record_superseded(id);
     }
 
-    /// Notes how a roll-out has ended, as the store says.
-    pub fn end_roll_out(&self, id: RollOutId, end: RollOutEnd) {
-        self.seen.lock().roll_outs.end(id, end);
+    /// Records the outcome of a roll-out, as stated in the store.
+    pub fn record_outcome(&self, id: RollOutId, end: RollOutEnd) {
+        self.seen.lock().roll_outs.record_outcome(id, end);
     }
 
-    /// Notes that the store says something else of a roll-out that has ended.
-    pub fn turn_roll_out(&self, id: RollOutId, state: &str) {
-        self.seen.lock().roll_outs.turn(id, state);
+    /// Records that the store states another state for a roll-out that has ended.
+    pub fn record_changed_outcome(&self, id: RollOutId, state: &str) {
+        self.seen.lock().roll_outs.record_changed_outcome(id, state);
     }
 
-    /// Notes the requests that ran on old leafs when they were stopped.
-    pub fn cut(&self, id: RollOutId, requests: &[String]) {
+    /// Records the requests that were running on old leafs when these were stopped.
+    pub fn record_interrupted(&self, id: RollOutId, requests: &[String]) {
         let mut seen = self.seen.lock();
-        let waits = |request: &&String| {
-            let asked = seen.asked.get(*request);
-            asked.is_some_and(|asked| !asked.is_over)
+        let is_awaited = |request: &&String| {
+            let record = seen.requests.get(*request);
+            record.is_some_and(|record| !record.is_finished)
         };
-        let cut = requests.iter().filter(waits).count();
-        seen.roll_outs.cut(id, cut);
+        let interrupted = requests.iter().filter(is_awaited).count();
+        seen.roll_outs.record_interrupted(id, interrupted);
     }
 
-    /// Notes the beginning of a fault. `is_core` says that it strikes daemons or their links.
+    /// Records the start of a fault. `is_core` tells whether it affects daemons or their links.
     pub fn begin_fault(&self, is_core: bool) {
         let mut seen = self.seen.lock();
         seen.roll_outs.begin_fault(is_core);
         seen.fatal.begin_fault(is_core);
     }
 
-    /// Notes the end of a fault.
+    /// Records the end of a fault.
     pub fn end_fault(&self, is_core: bool) {
         let mut seen = self.seen.lock();
         seen.roll_outs.end_fault(is_core);
         seen.fatal.end_fault(is_core);
     }
 
-    /// What was seen of each roll-out, in the order of the orders.
+    /// Observations of all roll-outs, in the sequence of their orders.
     pub fn roll_outs(&self) -> Vec<SeenRollOut> {
         self.seen.lock().roll_outs.seen()
     }
 
-    /// Notes a run, under its signature.
-    pub fn run(&self, signature: &str, run: Run) {
+    /// Records a run under its signature.
+    pub fn record_run(&self, signature: &str, run: Run) {
         let mut seen = self.seen.lock();
-        let broken = match seen.asked.get(&run.request) {
-            Some(asked) => seen.places.check(&run, &asked.route.homes),
+        let violation = match seen.requests.get(&run.request) {
+            Some(record) => seen.places.check(&run, &record.route.homes),
             None => Some(format!("UNASKED: {} ran {}", run.leaf, run.request)),
         };
-        seen.violations.extend(broken);
+        seen.violations.extend(violation);
         seen.runs.insert(signature.to_owned(), run);
     }
 
-    /// Notes that a leaf's word that it is leaving was acknowledged.
-    pub fn leave(&self, leaf: &str) {
+    /// Records that a leaf's announcement that it is leaving was acknowledged.
+    pub fn record_draining(&self, leaf: &str) {
         let mut seen = self.seen.lock();
         seen.draining.insert(leaf.to_owned(), Instant::now());
     }
 
-    /// Notes that a leaf has started: what its id said in an earlier run is over.
-    pub fn start_leaf(&self, leaf: &str) {
+    /// Records that a leaf has started: announcements of an earlier run under its id no longer hold.
+    pub fn record_leaf_start(&self, leaf: &str) {
         self.seen.lock().draining.remove(leaf);
     }
 
-    /// Notes that a leaf says that it is cold for a while.
-    pub fn turn_cold(&self, leaf: &str, length: Duration) {
-        self.seen.lock().cold.turn_cold(leaf, length);
+    /// Records a leaf's announcement that it is cold for some time.
+    pub fn record_cold(&self, leaf: &str, duration: Duration) {
+        self.seen.lock().cold.record_cold(leaf, duration);
     }
 
-    /// Notes that the order to empty a zone was acknowledged.
-    pub fn evacuate(&self, zone: &str) {
-        self.seen.lock().places.evacuate(zone);
+    /// Records that the order to evacuate a zone was acknowledged.
+    pub fn record_evacuation(&self, zone: &str) {
+        self.seen.lock().places.record_evacuation(zone);
     }
 
-    /// Notes that the order to empty a zone is taken back.
-    pub fn end_evacuation(&self, zone: &str) {
-        self.seen.lock().places.end_evacuation(zone);
+    /// Records that the order to evacuate a zone is revoked.
+    pub fn record_evacuation_end(&self, zone: &str) {
+        self.seen.lock().places.record_evacuation_end(zone);
     }
 
-    /// Checks the end of a request.
-    pub fn end(&self, request: &str, end: &CallerEnd) {
+    /// Records the end of a request and checks its answer.
+    pub fn check_end(&self, request: &str, end: &CallerEnd) {
         let mut seen = self.seen.lock();
         seen.end_request(request);
         match end {
-            CallerEnd::Nothing => seen.counts.nothing += 1,
+            CallerEnd::NoAnswer => seen.counts.unanswered += 1,
             CallerEnd::Answer(answer) => {
                 if let Some(text) = seen.check(request, answer) {
                     seen.violations.push(text);
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Numbers so far.
+    /// Counts so far.
     pub fn counts(&self) -> Counts {
         self.seen.lock().counts
     }
@@ -224,14 +224,14 @@
         runs.cloned().collect()
     }
 
-    /// Everything that was broken. `drain` is the time after which a leaving leaf gets nothing,
-    /// `budget` bounds extra arrivals.
-    pub fn violations(&self, drain: Duration, budget: ArrivalBudget) -> Vec<String> {
+    /// All violations. `drain_limit` is the time after which a leaving leaf must get nothing, `budget`
+    /// bounds extra arrivals.
+    pub fn violations(&self, drain_limit: Duration, budget: ArrivalBudget) -> Vec<String> {
         let seen = self.seen.lock();
         let mut violations = seen.violations.clone();
-        violations.extend(seen.doubled());
+        violations.extend(seen.duplicate_runs());
         violations.extend(seen.refused_but_run());
-        violations.extend(seen.late_at_leaving(drain));
+        violations.extend(seen.runs_after_drain(drain_limit));
         violations.extend(seen.arrivals.violations(budget));
         violations.extend(seen.cold.violations());
         violations.extend(seen.roll_outs.violations());
@@ -240,10 +240,10 @@
     }
 }
 
-impl Seen {
+impl Observations {
     fn end_request(&mut self, request: &str) {
-        if let Some(asked) = self.asked.get_mut(request) {
-            asked.is_over = true;
+        if let Some(record) = self.requests.get_mut(request) {
+            record.is_finished = true;
         }
     }
 
@@ -259,9 +259,9 @@
     }
 
     fn check(&mut self, request: &str, answer: &SeenAnswer) -> Option<String> {
-        let route = self.asked.get(request)?.route.clone();
-        if let Some(broken) = self.fatal.check_refusal(request, answer) {
-            return Some(broken);
+        let route = self.requests.get(request)?.route.clone();
+        if let Some(violation) = self.fatal.check_refusal(request, answer) {
+            return Some(violation);
         }
         if matches!(answer.status, 408 | 421 | 429 | 503) && !route.safe {
             self.refused_unsafe.push(request.to_owned());
@@ -269,14 +269,14 @@
         check_answer(&self.runs, request, &route, answer)
     }
 
-    fn doubled(&self) -> Vec<String> {
+    fn duplicate_runs(&self) -> Vec<String> {
         let mut runs: HashMap<&str, u32> = HashMap::new();
         for run in self.runs.values() {
             *runs.entry(run.request.as_str()).or_default() += 1;
         }
         let unsafe_twice = runs.into_iter().filter(|(request, count)| {
-            let asked = self.asked.get(*request);
-            *count > 1 && asked.is_some_and(|asked| !asked.route.safe)
+            let record = self.requests.get(*request);
+            *count > 1 && record.is_some_and(|record| !record.route.safe)
         });
         unsafe_twice
             .map(|(request, count)| format!("TWICE: {request} ran {count} times"))
@@ -284,17 +284,20 @@
     }
 
     fn refused_but_run(&self) -> Vec<String> {
-        let run = |request: &String| self.runs.values().any(|run| run.request == *request);
-        let broken = self.refused_unsafe.iter().filter(|request| run(request));
+        let has_run = |request: &String| self.runs.values().any(|run| run.request == *request);
+        let broken = self
+            .refused_unsafe
+            .iter()
+            .filter(|request| has_run(request));
         broken
             .map(|request| format!("REFUSED: {request} was refused and has run"))
             .collect()
     }
 
-    fn late_at_leaving(&self, drain: Duration) -> Vec<String> {
+    fn runs_after_drain(&self, drain_limit: Duration) -> Vec<String> {
         let late = self.runs.values().filter(|run| {
-            let left = self.draining.get(&run.leaf);
-            left.is_some_and(|left| run.at.saturating_duration_since(*left) > drain)
+            let since = self.draining.get(&run.leaf);
+            since.is_some_and(|since| run.at.saturating_duration_since(*since) > drain_limit)
         });
         late.map(|run| format!("DRAIN: {} ran {} after it left", run.leaf, run.request))
             .collect()
--- a/crates/tansylead-emulator/src/proxy.rs
+++ b/crates/tansylead-emulator/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that harms what passes through it.
+//! A TCP proxy on loopback that injects network faults.
 
 use crate::addresses::bind;
 use parking_lot::Mutex;
@@ -13,24 +13,24 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes passed on at a time.
+/// Maximum number of bytes forwarded at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Period at which a silenced direction looks whether it may go on.
+/// Period at which a silent direction checks whether it may continue.
 const SILENCE_CHECK: Duration = Duration::from_millis(20);
 
-/// What happens to what passes.
+/// Fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum LinkTrouble {
-    /// Nothing.
+pub enum LinkFault {
+    /// No fault.
     #[default]
     None,
-    /// Each chunk waits this long.
+    /// Each chunk is delayed by this time.
     Delayed(Duration),
-    /// Nothing passes, in either direction; it passes once this has ended.
+    /// Nothing is forwarded in either direction until this has ended.
     Silent,
-    /// Nothing passes towards the callee.
+    /// Nothing is forwarded to the callee.
     SilentForward,
-    /// Nothing passes towards the caller.
+    /// Nothing is forwarded to the caller.
     SilentBackward,
     /// New connections are closed at once.
     Refused,
@@ -42,19 +42,19 @@
     Backward,
 }
 
-/// What the connections of a proxy share.
+/// State shared by the connections of a proxy.
 #[derive(Debug, Default)]
 struct Link {
-    trouble: Mutex<LinkTrouble>,
-    /// When a call that changes an object passed last.
+    fault: Mutex<LinkFault>,
+    /// When a call that changes an object was last forwarded.
     last_write: Mutex<Option<Instant>>,
 }
 
-/// A connection that passes through a proxy.
+/// A connection through a proxy.
 #[derive(Debug)]
 struct Connection {
-    passing: JoinHandle<()>,
-    /// Nothing passes any more, not even the end of the connection.
+    relay: JoinHandle<()>,
+    /// Nothing more is forwarded, not even the end of the connection.
     is_silenced: Arc<AtomicBool>,
 }
 
@@ -85,9 +85,9 @@
                         Ok((stream, _)) => stream,
                         Err(_) => return,
                     },
-                    () = until(&mut closing, true) => {
+                    () = wait_for_closed(&mut closing, true) => {
                         drop(listener);
-                        until(&mut closing, false).await;
+                        wait_for_closed(&mut closing, false).await;
                         listener = match bind(address).await {
                             Ok(listener) => listener,
                             Err(_) => return,
@@ -95,20 +95,20 @@
                         continue;
                     }
                 };
-                if *accepting_link.trouble.lock() == LinkTrouble::Refused {
+                if *accepting_link.fault.lock() == LinkFault::Refused {
                     continue;
                 }
                 let is_silenced = Arc::default();
-                let passed = pass(
+                let relaying = relay(
                     stream,
                     target,
                     Arc::clone(&accepting_link),
                     Arc::clone(&is_silenced),
                 );
                 let mut open = accepted.lock();
-                open.retain(|connection| !connection.passing.is_finished());
+                open.retain(|connection| !connection.relay.is_finished());
                 open.push(Connection {
-                    passing: tokio::spawn(passed),
+                    relay: tokio::spawn(relaying),
                     is_silenced,
                 });
             }
@@ -122,37 +122,37 @@
         })
     }
 
-    /// Where it listens.
+    /// Address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what happens to what passes.
-    pub fn set_trouble(&self, trouble: LinkTrouble) {
-        *self.link.trouble.lock() = trouble;
+    /// Sets the fault of the link.
+    pub fn set_fault(&self, fault: LinkFault) {
+        *self.link.fault.lock() = fault;
     }
 
-    /// Silences all connections that are open now, both ways and for good; new ones work.
+    /// Permanently silences all open connections in both directions; new ones work.
     pub fn silence_established(&self) {
         for connection in self.connections.lock().iter() {
             connection.is_silenced.store(true, Ordering::Relaxed);
         }
     }
 
-    /// While this is set, the address refuses connections, as that of a process that has ended does.
+    /// While this is set, the address refuses connections, as if the process behind it had exited.
     pub fn closed(&self) -> Arc<watch::Sender<bool>> {
         Arc::clone(&self.is_closed)
     }
 
-    /// When a call that changes an object passed last.
+    /// When a call that changes an object was last forwarded.
     pub fn last_write(&self) -> Option<Instant> {
         *self.link.last_write.lock()
     }
 
-    /// Ends all connections.
+    /// Closes all connections.
     pub fn reset(&self) {
         for connection in self.connections.lock().drain(..) {
-            connection.passing.abort();
+            connection.relay.abort();
         }
     }
 }
@@ -164,13 +164,13 @@
     }
 }
 
-/// Waits until the address is closed, or open.
-async fn until(closing: &mut watch::Receiver<bool>, is_closed: bool) {
-    // A proxy that is gone needs nothing more.
+/// Waits until the address is closed or open, as `is_closed` says.
+async fn wait_for_closed(closing: &mut watch::Receiver<bool>, is_closed: bool) {
+    // Fails only if the proxy was dropped; its task is aborted then.
     let _ = closing.wait_for(|now| *now == is_closed).await;
 }
 
-async fn pass(
+async fn relay(
     caller: TcpStream,
     target: SocketAddr,
     link: Arc<Link>,
@@ -183,17 +183,17 @@
     let _ = callee.set_nodelay(true);
     let (caller_read, caller_write) = caller.into_split();
     let (callee_read, callee_write) = callee.into_split();
-    let forward = Copying {
+    let forward = DirectionRelay {
         link: &link,
         is_silenced: &is_silenced,
         direction: Direction::Forward,
     };
-    let backward = Copying {
+    let backward = DirectionRelay {
         direction: Direction::Backward,
         ..forward
     };
     tokio::select! {
-        // The end of either direction ends the connection.
+        // The end of either direction closes the connection.
         _ = forward.copy(caller_read, callee_write) => {}
         _ = backward.copy(callee_read, caller_write) => {}
     }
@@ -201,13 +201,13 @@
 
 /// One direction of one connection.
 #[derive(Debug, Clone, Copy)]
-struct Copying<'a> {
+struct DirectionRelay<'a> {
     link: &'a Link,
     is_silenced: &'a AtomicBool,
     direction: Direction,
 }
 
-impl Copying<'_> {
+impl DirectionRelay<'_> {
     async fn copy(self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) -> io::Result<()> {
         let mut buffer = vec![0; CHUNK_BYTES];
         loop {
@@ -217,12 +217,12 @@
             if length == 0 {
                 return Ok(());
             }
-            self.note_write(&buffer[..length]);
-            while is_silent(*self.link.trouble.lock(), self.direction) {
+            self.record_write(&buffer[..length]);
+            while is_silent(*self.link.fault.lock(), self.direction) {
                 tokio::time::sleep(SILENCE_CHECK).await;
             }
-            let delay = match *self.link.trouble.lock() {
-                LinkTrouble::Delayed(delay) => delay,
+            let delay = match *self.link.fault.lock() {
+                LinkFault::Delayed(delay) => delay,
                 _ => Duration::ZERO,
             };
             tokio::time::sleep(delay).await;
@@ -231,26 +231,26 @@
         }
     }
 
-    /// Never returns on a connection that was silenced.
+    /// Never returns if the connection was silenced.
     async fn wait_if_silenced(self) {
         if self.is_silenced.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Notes a call that changes an object. Such calls are short, so they begin a chunk.
-    fn note_write(self, chunk: &[u8]) {
+    /// Records a call that changes an object. Such calls are short, so each starts a chunk.
+    fn record_write(self, chunk: &[u8]) {
         if self.direction == Direction::Forward && chunk.starts_with(b"PUT ") {
             *self.link.last_write.lock() = Some(Instant::now());
         }
     }
 }
 
-fn is_silent(trouble: LinkTrouble, direction: Direction) -> bool {
-    match trouble {
-        LinkTrouble::Silent => true,
-        LinkTrouble::SilentForward => direction == Direction::Forward,
-        LinkTrouble::SilentBackward => direction == Direction::Backward,
+fn is_silent(fault: LinkFault, direction: Direction) -> bool {
+    match fault {
+        LinkFault::Silent => true,
+        LinkFault::SilentForward => direction == Direction::Forward,
+        LinkFault::SilentBackward => direction == Direction::Backward,
         _ => false,
     }
 }
--- a/crates/tansylead-emulator/src/restored_store.rs
+++ b/crates/tansylead-emulator/src/restored_store.rs
@@ -1,5 +1,5 @@
-//! The store comes back from a copy some seconds old. The operator and the leafs write again what it lost; what
-//! the daemons wrote stays gone unless they do the same.
+//! Restores the store from a copy that is some seconds old. The operator and the leafs repeat the writes that it
+//! lost; writes of the daemons stay lost unless the daemons repeat them.
 
 use crate::deployment::Deployment;
 use crate::leaf::LeafControl;
@@ -10,29 +10,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Each leaf has written its entry again after this time.
+/// Within this time each leaf rewrites its entry.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// An entry that no leaf writes lapses after this time: three heartbeats.
-const LAPSE: Duration = Duration::from_secs(6);
-/// The operator has written again after this time.
-const OPERATOR_WAIT: Duration = Duration::from_millis(1_500);
+/// An entry that no leaf rewrites expires after this time: three heartbeats.
+const ENTRY_EXPIRY: Duration = Duration::from_secs(6);
+/// Delay before the operator repeats its writes.
+const OPERATOR_DELAY: Duration = Duration::from_millis(1_500);
 
-/// What the operator has written, shared with whoever writes it again: it may have changed by then.
-pub(crate) type SharedOperatorWords = Arc<Mutex<OperatorWords>>;
+/// The operator's writes, shared with the task that repeats them: they may have changed by then.
+pub(crate) type SharedOperatorState = Arc<Mutex<OperatorState>>;
 
-/// What the operator has written, as it stands.
+/// Current state of everything that the operator has written.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct OperatorWords {
+pub(crate) struct OperatorState {
     /// The configuration.
     pub(crate) configuration: Option<Value>,
-    /// Zones that are being emptied.
+    /// Evacuated zones.
     pub(crate) evacuations: BTreeSet<String>,
     /// Orders to roll out, by service.
     pub(crate) orders: BTreeMap<String, Value>,
 }
 
-impl OperatorWords {
-    /// Writes again what the store has lost, and takes back what it has brought back.
+impl OperatorState {
+    /// Repeats the writes that the store has lost, and revokes the evacuations that it has brought back.
     fn write(&self, store: &StoreServer) {
         if let Some(configuration) = self.configuration.clone() {
             store.put("config", "main", configuration);
@@ -52,44 +52,44 @@
 }
 
 impl Deployment {
-    /// Brings the store back from a copy, and has written again what others than the daemons wrote.
+    /// Restores the store from a copy, and has the operator and the leafs repeat their writes.
     pub fn restore_store(&self, copy: StoreCopy) {
-        self.lose_outcomes(&copy);
+        self.record_restore(&copy);
         self.store.restore(copy);
         let store = self.store.clone();
         let leafs: Vec<LeafControl> = self.leafs.iter().map(|leaf| leaf.control.clone()).collect();
-        let living: BTreeSet<&str> = leafs
+        let registered: BTreeSet<&str> = leafs
             .iter()
             .filter(|leaf| leaf.is_registered())
             .map(|leaf| leaf.plan().id.as_str())
             .collect();
         let names = store.names("servers");
-        let dead = names
+        let stale = names
             .into_iter()
-            .filter(|name| !living.contains(name.as_str()));
-        let dead: Vec<_> = dead
+            .filter(|name| !registered.contains(name.as_str()));
+        let stale: Vec<_> = stale
             .filter_map(|name| store.get("servers", &name))
             .collect();
-        tokio::spawn(beat(leafs.clone()));
-        let words = Arc::clone(&self.operator_words);
+        tokio::spawn(send_heartbeats(leafs.clone()));
+        let state = Arc::clone(&self.operator_state);
         tokio::spawn(async move {
-            tokio::time::sleep(OPERATOR_WAIT).await;
-            words.lock().write(&store);
-            tokio::time::sleep(LAPSE.saturating_sub(OPERATOR_WAIT)).await;
-            for object in dead {
+            tokio::time::sleep(OPERATOR_DELAY).await;
+            state.lock().write(&store);
+            tokio::time::sleep(ENTRY_EXPIRY.saturating_sub(OPERATOR_DELAY)).await;
+            for object in stale {
                 store.delete_unchanged("servers", &object);
             }
         });
     }
 }
 
-/// Has all leafs write their entries again, one after the other.
-async fn beat(leafs: Vec<LeafControl>) {
+/// Has all leafs rewrite their entries, one after the other.
+async fn send_heartbeats(leafs: Vec<LeafControl>) {
     let Some(pause) = HEARTBEAT.checked_div(leafs.len() as u32) else {
         return;
     };
     for leaf in leafs {
         tokio::time::sleep(pause).await;
-        leaf.write_again();
+        leaf.send_heartbeat();
     }
 }
--- a/crates/tansylead-emulator/src/roll_out.rs
+++ b/crates/tansylead-emulator/src/roll_out.rs
@@ -1,4 +1,4 @@
-//! The operator's orders to roll out, and what the platform does with leafs as they proceed.
+//! The operator's orders to roll out, and how the platform starts and stops leafs as roll-outs progress.
 
 use crate::deployment::Deployment;
 use crate::leaf::LeafControl;
@@ -17,30 +17,30 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Kind of the orders in the store.
+/// Kind of the orders' objects in the store.
 const KIND: &str = "rollouts";
-/// Period at which the platform looks at the state of a roll-out.
+/// Period at which the platform polls the state of a roll-out.
 const CHECK_PERIOD: Duration = Duration::from_millis(10);
-/// Entries of leafs that were stopped stand for some seconds more.
-const ENTRY_LAPSE: Duration = Duration::from_secs(3);
-/// Leafs of a version that was rolled back drain some seconds later.
-const DRAIN_AFTER: Duration = Duration::from_secs(4);
-/// Leafs that drain end after this time.
-const END_AFTER: Duration = Duration::from_secs(4);
+/// The entries of stopped leafs expire after some seconds.
+const ENTRY_EXPIRY: Duration = Duration::from_secs(3);
+/// Delay before leafs of a version that was rolled back start to drain.
+const DRAIN_DELAY: Duration = Duration::from_secs(4);
+/// Time for which leafs drain before they stop.
+const DRAIN_DURATION: Duration = Duration::from_secs(4);
 
-/// The roll-outs under way, and what the platform does for them. All of it ends when this is dropped.
+/// The current roll-outs and the platform's tasks for them, which are aborted when this is dropped.
 #[derive(Debug, Default)]
 pub(crate) struct RollOutTasks {
-    watched: HashMap<String, Arc<Watched>>,
+    watched: HashMap<String, Arc<WatchedRollOut>>,
     tasks: JoinSet<()>,
 }
 
 impl Deployment {
-    /// Orders a roll-out and starts the leafs of the target version. An earlier order for the same service
-    /// is replaced.
+    /// Orders a roll-out and starts the leafs of the target version. Replaces an earlier order for the same
+    /// service.
     pub async fn roll_out(&mut self, plan: &RollOutPlan) -> io::Result<RollOutId> {
         let earlier = self.supersede(&plan.service);
-        let id = self.oracle.order_roll_out(RollOutOrder {
+        let id = self.oracle.record_order(RollOutOrder {
             service: plan.service.clone(),
             target: plan.target.clone(),
             kind: plan.kind(),
@@ -48,14 +48,14 @@
             duration: plan.duration,
         });
         self.write_order(plan, earlier.as_deref());
-        let version = LeafVersion::new(&plan.target, plan.trouble.clone());
+        let version = LeafVersion::new(&plan.target, plan.defect.clone());
         if plan.leafs != TargetLeafs::Never {
-            for (zone, work) in self.registry.places(&plan.service) {
+            for (zone, work) in self.registry.zones_and_work(&plan.service) {
                 let added = self.add_leaf_of(&plan.service, &zone, work, version.clone());
                 added.await?;
             }
         }
-        let watched = Arc::new(Watched {
+        let watched = Arc::new(WatchedRollOut {
             id,
             service: plan.service.clone(),
             version,
@@ -63,7 +63,7 @@
             oracle: self.oracle.clone(),
             registry: self.registry.clone(),
             progress: Mutex::new(Progress::Open),
-            lost: Mutex::default(),
+            restored: Mutex::default(),
         });
         if let TargetLeafs::Crash(after) = plan.leafs {
             let crashing = Arc::clone(&watched);
@@ -78,8 +78,8 @@
         Ok(id)
     }
 
-    /// Takes the order for a service back.
-    pub fn take_back(&mut self, service: &str) {
+    /// Revokes the order for a service.
+    pub fn revoke_roll_out(&mut self, service: &str) {
         self.supersede(service);
         self.store.delete(KIND, service);
     }
@@ -90,7 +90,7 @@
         watched.is_some_and(|watched| *watched.progress.lock() == Progress::Open)
     }
 
-    /// Services of all leafs.
+    /// Names of the services of all leafs.
     pub fn services(&self) -> Vec<String> {
         let services = self.leafs.iter().map(|leaf| leaf.plan.service.clone());
         let services: BTreeSet<String> = services.collect();
@@ -110,17 +110,17 @@
         }
     }
 
-    /// Notes that the store is about to come back from a copy: what it says of roll-outs that have ended may go back
-    /// with it.
-    pub(crate) fn lose_outcomes(&self, copy: &StoreCopy) {
+    /// Records that the store is about to be restored from a copy, which may revert the outcomes of roll-outs that
+    /// have ended.
+    pub(crate) fn record_restore(&self, copy: &StoreCopy) {
         let era = self.store.era() + 1;
         for watched in self.roll_outs.watched.values() {
-            watched.lose(era, copy);
+            watched.record_restore(era, copy);
         }
     }
 
-    /// Writes an order over an earlier one, if there is one. One for the same version is made anew: what is
-    /// said of the earlier one could not be told from what is said of it.
+    /// Writes an order and replaces an earlier one, if any. An order for the same version is created anew, because the
+    /// status of the earlier one could not be told apart from its own.
     fn write_order(&self, plan: &RollOutPlan, earlier: Option<&str>) {
         if earlier == Some(plan.target.as_str()) {
             self.store.delete(KIND, &plan.service);
@@ -130,12 +130,12 @@
             "target_version": plan.target,
             "duration_s": plan.duration.as_secs_f64(),
         });
-        let orders = &mut self.operator_words.lock().orders;
+        let orders = &mut self.operator_state.lock().orders;
         orders.insert(plan.service.clone(), spec.clone());
         self.store.put(KIND, &plan.service, spec);
     }
 
-    /// Ends the watch over the last roll-out of a service, and gives its target.
+    /// Stops watching the last roll-out of a service and returns its target.
     fn supersede(&mut self, service: &str) -> Option<String> {
         let earlier = self.roll_outs.watched.remove(service)?;
         earlier.supersede();
@@ -143,7 +143,7 @@
     }
 }
 
-/// How far a roll-out has come, as the platform knows.
+/// Progress of a roll-out, as the platform knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Open,
@@ -153,7 +153,7 @@
 
 /// A roll-out that the platform watches.
 #[derive(Debug)]
-struct Watched {
+struct WatchedRollOut {
     id: RollOutId,
     service: String,
     version: LeafVersion,
@@ -161,76 +161,78 @@
     oracle: Oracle,
     registry: LeafRegistry,
     progress: Mutex<Progress>,
-    /// What a copy that the store came back from says of it, and the era that this began.
-    lost: Mutex<Option<(u64, Option<String>)>>,
+    /// State of the roll-out in the copy that the store was restored from, and the era that the restore began.
+    restored: Mutex<Option<(u64, Option<String>)>>,
 }
 
-async fn watch(watched: Arc<Watched>) {
+async fn watch(watched: Arc<WatchedRollOut>) {
     while *watched.progress.lock() != Progress::Superseded {
-        watched.look();
+        watched.update();
         tokio::time::sleep(CHECK_PERIOD).await;
     }
 }
 
-impl Watched {
-    /// Does what follows from what the store says now.
-    fn look(&self) {
+impl WatchedRollOut {
+    /// Acts on the state that the store has now.
+    fn update(&self) {
         let mut progress = self.progress.lock();
-        let said = self.said();
-        let end = match said.as_deref() {
+        let stored = self.stored_state();
+        let end = match stored.as_deref() {
             Some("completed") => Some(RollOutEnd::Completed),
             Some("rolled_back") => Some(RollOutEnd::RolledBack),
             Some("running") | None => None,
-            Some(other) => return self.oracle.turn_roll_out(self.id, other),
+            Some(other) => return self.oracle.record_changed_outcome(self.id, other),
         };
         match (*progress, end) {
             (Progress::Open, Some(end)) => {
                 *progress = Progress::Ended(end);
-                self.oracle.end_roll_out(self.id, end);
+                self.oracle.record_outcome(self.id, end);
                 match end {
                     RollOutEnd::Completed => self.stop_old_leafs(),
                     RollOutEnd::RolledBack => self.drain_new_leafs(),
                 }
             }
             (Progress::Ended(_), Some(end)) => {
-                self.forget_lost();
-                self.oracle.end_roll_out(self.id, end);
+                self.clear_restored();
+                self.oracle.record_outcome(self.id, end);
             }
-            (Progress::Ended(_), None) if self.is_lost(said.as_deref()) => {}
+            (Progress::Ended(_), None) if self.is_restored(stored.as_deref()) => {}
             (Progress::Ended(_), None) => {
-                let state = said.as_deref().unwrap_or("nothing");
-                self.oracle.turn_roll_out(self.id, state);
+                let state = stored.as_deref().unwrap_or("nothing");
+                self.oracle.record_changed_outcome(self.id, state);
             }
             (Progress::Open, None) | (Progress::Superseded, _) => {}
         }
     }
 
-    /// Notes that the store is about to come back from a copy, in this era.
-    fn lose(&self, era: u64, copy: &StoreCopy) {
+    /// Records that the store is about to be restored from a copy, which begins this era.
+    fn record_restore(&self, era: u64, copy: &StoreCopy) {
         let state = copy
             .get(KIND, &self.service)
             .and_then(|object| self.own_state(&object.status));
-        *self.lost.lock() = Some((era, state));
+        *self.restored.lock() = Some((era, state));
     }
 
-    /// Whether the state is the one that the store itself has gone back to. Any other was written by a daemon.
-    fn is_lost(&self, said: Option<&str>) -> bool {
-        let lost = self.lost.lock();
-        let (era, state) = match lost.as_ref() {
+    /// Whether the state is the one that the restore has brought back. Any other was written by a daemon.
+    fn is_restored(&self, stored: Option<&str>) -> bool {
+        let restored = self.restored.lock();
+        let (era, state) = match restored.as_ref() {
             Some((era, state)) => (*era, state.as_deref()),
             None => return false,
         };
-        era == self.store.era() && state == said
+        era == self.store.era() && state == stored
     }
 
-    /// The outcome stands again: from now on it must not turn.
-    fn forget_lost(&self) {
+    /// The store has the outcome again: from now on it must not change.
+    fn clear_restored(&self) {
         let era = self.store.era();
-        self.lost.lock().take_if(|(lost, _)| *lost == era);
+        self.restored
+            .lock()
+            .take_if(|(restored, _)| *restored == era);
     }
 
-    /// The state that the store has, if it is one of this order.
-    fn said(&self) -> Option<String> {
+    /// The state in the store, if it belongs to this order.
+    fn stored_state(&self) -> Option<String> {
         let status = self.store.get(KIND, &self.service)?.status;
         self.own_state(&status)
     }
@@ -241,26 +243,26 @@
         Some(state.to_owned())
     }
 
-    /// The order is replaced or taken back. If it had not ended, its leafs go.
+    /// Handles that the order is replaced or revoked. If it has not ended, its leafs are drained.
     fn supersede(&self) {
-        self.look();
+        self.update();
         let mut progress = self.progress.lock();
         if *progress == Progress::Open {
             self.drain_new_leafs();
         }
         *progress = Progress::Superseded;
-        self.oracle.supersede_roll_out(self.id);
+        self.oracle.record_superseded(self.id);
     }
 
     fn stop_old_leafs(&self) {
         let target = &self.version.name;
         let old = self.registry.retire(&self.service, |name| name != target);
-        let cut: Vec<String> = old.iter().flat_map(LeafControl::end).collect();
-        self.oracle.cut(self.id, &cut);
+        let interrupted: Vec<String> = old.iter().flat_map(LeafControl::stop).collect();
+        self.oracle.record_interrupted(self.id, &interrupted);
         self.registry
             .set_version(&self.service, self.version.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(ENTRY_LAPSE).await;
+            tokio::time::sleep(ENTRY_EXPIRY).await;
             old.iter().for_each(LeafControl::unregister);
         });
     }
@@ -269,17 +271,17 @@
         let target = &self.version.name;
         let new = self.registry.retire(&self.service, |name| name == target);
         tokio::spawn(async move {
-            tokio::time::sleep(DRAIN_AFTER).await;
+            tokio::time::sleep(DRAIN_DELAY).await;
             new.iter().for_each(LeafControl::drain);
-            tokio::time::sleep(END_AFTER).await;
+            tokio::time::sleep(DRAIN_DURATION).await;
             for leaf in &new {
-                leaf.end();
+                leaf.stop();
                 leaf.unregister();
             }
         });
     }
 
-    /// Ends all leafs of the target version without a word; their entries lapse later.
+    /// Stops all leafs of the target version unannounced; their entries expire later.
     fn crash(&self) {
         if *self.progress.lock() != Progress::Open {
             return;
@@ -287,10 +289,10 @@
         let target = &self.version.name;
         let new = self.registry.retire(&self.service, |name| name == target);
         new.iter().for_each(|leaf| {
-            leaf.end();
+            leaf.stop();
         });
         tokio::spawn(async move {
-            tokio::time::sleep(ENTRY_LAPSE).await;
+            tokio::time::sleep(ENTRY_EXPIRY).await;
             new.iter().for_each(LeafControl::unregister);
         });
     }
--- a/crates/tansylead-emulator/src/roll_out_plan.rs
+++ b/crates/tansylead-emulator/src/roll_out_plan.rs
@@ -1,15 +1,15 @@
-//! A roll-out as the operator orders it, and what is wrong with its target version.
+//! A roll-out as the operator orders it, and the defect of its target version.
 
-use crate::version::VersionTrouble;
+use crate::version::VersionDefect;
 use std::time::Duration;
 
-/// Whether the leafs of the target version come.
+/// Whether the leafs of the target version start.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum TargetLeafs {
-    /// They do.
+    /// They start.
     #[default]
-    Come,
-    /// None comes.
+    Start,
+    /// None starts.
     Never,
     /// All of them crash after this time.
     Crash(Duration),
@@ -20,38 +20,38 @@
 pub struct RollOutPlan {
     /// Service.
     pub service: String,
-    /// Version that it moves to.
+    /// Version to roll out.
     pub target: String,
-    /// What is wrong with the version.
-    pub trouble: VersionTrouble,
-    /// Whether its leafs come.
+    /// Defect of the version.
+    pub defect: VersionDefect,
+    /// Whether its leafs start.
     pub leafs: TargetLeafs,
-    /// Time until it should have ended.
+    /// Time within which it should end.
     pub duration: Duration,
 }
 
 impl RollOutPlan {
-    /// A good version.
+    /// A roll-out of a version without a defect.
     pub fn good(service: &str, target: &str, duration: Duration) -> Self {
         Self {
             service: service.to_owned(),
             target: target.to_owned(),
-            trouble: VersionTrouble::None,
-            leafs: TargetLeafs::Come,
+            defect: VersionDefect::None,
+            leafs: TargetLeafs::Start,
             duration,
         }
     }
 
-    /// Whether the version must not be taken.
+    /// Whether the version must be rolled back.
     pub fn is_bad(&self) -> bool {
-        self.trouble != VersionTrouble::None || self.leafs != TargetLeafs::Come
+        self.defect != VersionDefect::None || self.leafs != TargetLeafs::Start
     }
 
-    /// What is wrong, in a word, with its figures.
+    /// Kind of the defect with its parameters, for reports.
     pub fn kind(&self) -> String {
         match self.leafs {
-            TargetLeafs::Come if !self.is_bad() => "good".to_owned(),
-            TargetLeafs::Come => format!("{:?}", self.trouble),
+            TargetLeafs::Start if !self.is_bad() => "good".to_owned(),
+            TargetLeafs::Start => format!("{:?}", self.defect),
             leafs => format!("leafs: {leafs:?}"),
         }
     }
--- a/crates/tansylead-emulator/src/roll_out_rules.rs
+++ b/crates/tansylead-emulator/src/roll_out_rules.rs
@@ -1,37 +1,37 @@
-//! What holds while a service is rolled out to another version of its leafs.
+//! Checks the guarantees that hold while a service is rolled out to another version of its leafs.
 
 use crate::leaf::LeafPlan;
 use crate::seen_roll_out::{RollOutEnd, RollOutOrder, SeenRollOut};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Sends to a bad version, as a share of the requests to its service, and beyond that share: the users'
-/// bounds.
+/// Bound on sends to a bad version, as a share of the requests to its service; given by the users.
 pub const EXPOSURE_SHARE: f64 = 0.1;
-/// See [`EXPOSURE_SHARE`].
+/// Sends to a bad version that are allowed beyond [`EXPOSURE_SHARE`]; given by the users.
 pub const EXPOSURE_SLACK: f64 = 50.0;
-/// A bad version gets nothing this long after its answers have shown it: the users' bound.
+/// Time after which a bad version must get nothing, once its answers have proven it bad; given by the
+/// users.
 pub const ROLL_BACK_LIMIT: Duration = Duration::from_millis(5_000);
-/// Bad answers that show a bad version: the users' figure.
-const TELLING_ANSWERS: u32 = 50;
-/// Room in time limits for a busy machine, and for daemons that have just started again.
-const MACHINE_ROOM: Duration = Duration::from_millis(2_000);
+/// Number of bad answers that prove a version bad; given by the users.
+const PROOF_ANSWERS: u32 = 50;
+/// Slack in time limits for a busy machine and for daemons that have just restarted.
+const TIME_SLACK: Duration = Duration::from_millis(2_000);
 
-/// Names a roll-out.
+/// Identifies a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RollOutId(usize);
 
 #[derive(Debug)]
-struct Record {
+struct RollOutRecord {
     seen: SeenRollOut,
     ordered_at: Instant,
     requests: HashSet<String>,
     bad_answers: u32,
-    told_at: Option<Instant>,
+    proven_at: Option<Instant>,
     violations: Vec<String>,
 }
 
-impl Record {
+impl RollOutRecord {
     fn name(&self) -> String {
         let order = &self.seen.order;
         format!("{} to {} ({})", order.service, order.target, order.kind)
@@ -42,15 +42,15 @@
         order.service == leaf.service && order.target == leaf.version.name
     }
 
-    /// Breaks a rule; the first of each kind is enough.
-    fn violate(&mut self, rule: &str, text: &str) {
+    /// Records a violation of a rule, unless it has been recorded before.
+    fn add_violation(&mut self, rule: &str, text: &str) {
         let text = format!("{rule}: {}: {text}", self.name());
         if !self.violations.contains(&text) {
             self.violations.push(text);
         }
     }
 
-    fn arrive(&mut self, request: &str, leaf: &LeafPlan) {
+    fn record_arrival(&mut self, request: &str, leaf: &LeafPlan) {
         let now = Instant::now();
         let since_order = now.duration_since(self.ordered_at);
         let is_before_deadline = since_order <= self.seen.order.duration;
@@ -66,18 +66,18 @@
         if let Some((RollOutEnd::RolledBack, after)) = self.seen.end
             && since_order > after + ROLL_BACK_LIMIT
         {
-            self.violate("BACK", "a request after it was rolled back");
+            self.add_violation("BACK", "a request after it was rolled back");
         }
-        if let Some(told_at) = self.told_at {
-            let back = now.duration_since(told_at);
-            self.seen.back = Some(back);
-            if back > ROLL_BACK_LIMIT + MACHINE_ROOM {
-                self.violate("EXPOSURE", "a request too long after its bad answers");
+        if let Some(proven_at) = self.proven_at {
+            let since_proof = now.duration_since(proven_at);
+            self.seen.roll_back_time = Some(since_proof);
+            if since_proof > ROLL_BACK_LIMIT + TIME_SLACK {
+                self.add_violation("EXPOSURE", "a request too long after its bad answers");
             }
         }
     }
 
-    fn over_exposure(&self) -> Option<String> {
+    fn exposure_violation(&self) -> Option<String> {
         let order = &self.seen.order;
         let seen = self.seen();
         let is_over = order.is_bad && f64::from(seen.sends) > seen.allowed();
@@ -87,10 +87,10 @@
         })
     }
 
-    fn wrong_end(&self) -> Option<String> {
+    fn outcome_violation(&self) -> Option<String> {
         let (end, after) = self.seen.end?;
-        let is_broken = self.seen.is_wrong() && !self.seen.is_disturbed;
-        is_broken.then(|| format!("OUTCOME: {}: {end:?} after {after:?}", self.name()))
+        let is_violated = self.seen.is_wrong() && !self.seen.is_disturbed;
+        is_violated.then(|| format!("OUTCOME: {}: {end:?} after {after:?}", self.name()))
     }
 
     fn seen(&self) -> SeenRollOut {
@@ -104,129 +104,129 @@
 /// All roll-outs of a deployment.
 #[derive(Debug, Default)]
 pub(crate) struct RollOutRules {
-    records: Vec<Record>,
-    /// Faults that strike daemons or their links and last.
-    core_troubles: usize,
-    /// Bad answers before this do not count: the daemons were in trouble.
+    records: Vec<RollOutRecord>,
+    /// Number of ongoing faults that affect daemons or their links.
+    core_faults: usize,
+    /// Bad answers before this do not count, because the daemons were affected by faults.
     stable_from: Option<Instant>,
 }
 
 impl RollOutRules {
-    /// Notes an order. Earlier ones for its service are superseded.
-    pub(crate) fn order(&mut self, order: RollOutOrder) -> RollOutId {
+    /// Records an order. Earlier ones for its service are superseded.
+    pub(crate) fn record_order(&mut self, order: RollOutOrder) -> RollOutId {
         let service = order.service.as_str();
         let earlier = self.records.iter_mut();
         for record in earlier.filter(|record| record.seen.order.service == service) {
             record.seen.is_superseded = true;
         }
-        self.records.push(Record {
+        self.records.push(RollOutRecord {
             seen: SeenRollOut {
                 order,
                 end: None,
                 is_superseded: false,
-                is_disturbed: self.core_troubles > 0,
+                is_disturbed: self.core_faults > 0,
                 requests: 0,
                 sends: 0,
-                back: None,
-                cut: 0,
+                roll_back_time: None,
+                interrupted: 0,
             },
             ordered_at: Instant::now(),
             requests: HashSet::new(),
             bad_answers: 0,
-            told_at: None,
+            proven_at: None,
             violations: Vec::new(),
         });
         RollOutId(self.records.len() - 1)
     }
 
-    /// Notes that an order is taken back.
-    pub(crate) fn supersede(&mut self, id: RollOutId) {
+    /// Records that an order is replaced or revoked.
+    pub(crate) fn record_superseded(&mut self, id: RollOutId) {
         self.records[id.0].seen.is_superseded = true;
     }
 
-    /// Notes what the store says of a roll-out that is not superseded.
-    pub(crate) fn end(&mut self, id: RollOutId, end: RollOutEnd) {
+    /// Records the outcome that the store states for a roll-out that is not superseded.
+    pub(crate) fn record_outcome(&mut self, id: RollOutId, end: RollOutEnd) {
         let record = &mut self.records[id.0];
         match record.seen.end {
             None => record.seen.end = Some((end, record.ordered_at.elapsed())),
             Some((earlier, _)) if earlier != end => {
-                record.violate("TURNED", "it had ended otherwise before");
+                record.add_violation("TURNED", "it had ended otherwise before");
             }
             Some(_) => {}
         }
     }
 
-    /// Notes that what the store says of an ended roll-out was taken back.
-    pub(crate) fn turn(&mut self, id: RollOutId, state: &str) {
+    /// Records that the store states another state for a roll-out that has ended.
+    pub(crate) fn record_changed_outcome(&mut self, id: RollOutId, state: &str) {
         let text = format!("{state} after its end");
-        self.records[id.0].violate("TURNED", &text);
+        self.records[id.0].add_violation("TURNED", &text);
     }
 
-    /// Notes that requests were cut when the old leafs were stopped.
-    pub(crate) fn cut(&mut self, id: RollOutId, cut: usize) {
+    /// Records how many requests were interrupted when the old leafs were stopped.
+    pub(crate) fn record_interrupted(&mut self, id: RollOutId, interrupted: usize) {
         let record = &mut self.records[id.0];
-        record.seen.cut += cut;
-        if cut > 0 && !record.seen.is_disturbed {
-            record.violate("CUT", "requests ran on old leafs at its completion");
+        record.seen.interrupted += interrupted;
+        if interrupted > 0 && !record.seen.is_disturbed {
+            record.add_violation("CUT", "requests ran on old leafs at its completion");
         }
     }
 
-    /// Notes that a request reached a leaf.
-    pub(crate) fn arrive(&mut self, request: &str, leaf: &LeafPlan) {
+    /// Records that a request reached a leaf.
+    pub(crate) fn record_arrival(&mut self, request: &str, leaf: &LeafPlan) {
         let records = self.records.iter_mut();
         for record in records.filter(|record| record.seen.order.service == leaf.service) {
-            record.arrive(request, leaf);
+            record.record_arrival(request, leaf);
         }
     }
 
-    /// Notes an answer that is bad because of the leaf's version.
-    pub(crate) fn answer_badly(&mut self, leaf: &LeafPlan) {
+    /// Records an answer that is bad because of the leaf's version.
+    pub(crate) fn record_bad_answer(&mut self, leaf: &LeafPlan) {
         let is_stable = self.stable_from.is_none_or(|from| Instant::now() >= from);
-        if self.core_troubles > 0 || !is_stable {
+        if self.core_faults > 0 || !is_stable {
             return;
         }
         for record in self.records.iter_mut().filter(|r| r.is_target(leaf)) {
             record.bad_answers += 1;
-            if record.bad_answers == TELLING_ANSWERS {
-                record.told_at = Some(Instant::now());
+            if record.bad_answers == PROOF_ANSWERS {
+                record.proven_at = Some(Instant::now());
             }
         }
     }
 
-    /// Notes the beginning of a fault. `is_core` says that it strikes daemons or their links.
+    /// Records the start of a fault. `is_core` tells whether it affects daemons or their links.
     pub(crate) fn begin_fault(&mut self, is_core: bool) {
         for record in &mut self.records {
             record.seen.is_disturbed |= record.seen.end.is_none();
             if is_core {
                 record.bad_answers = 0;
-                record.told_at = None;
+                record.proven_at = None;
             }
         }
-        self.core_troubles += usize::from(is_core);
+        self.core_faults += usize::from(is_core);
     }
 
-    /// Notes the end of a fault.
+    /// Records the end of a fault.
     pub(crate) fn end_fault(&mut self, is_core: bool) {
-        self.core_troubles = self.core_troubles.saturating_sub(usize::from(is_core));
+        self.core_faults = self.core_faults.saturating_sub(usize::from(is_core));
         if is_core {
-            self.stable_from = Some(Instant::now() + MACHINE_ROOM);
+            self.stable_from = Some(Instant::now() + TIME_SLACK);
         }
     }
 
-    /// What was seen of each roll-out, in the order of the orders.
+    /// Observations of all roll-outs, in the sequence of their orders.
     pub(crate) fn seen(&self) -> Vec<SeenRollOut> {
-        self.records.iter().map(Record::seen).collect()
+        self.records.iter().map(RollOutRecord::seen).collect()
     }
 
-    /// What was broken.
+    /// All violations.
     pub(crate) fn violations(&self) -> Vec<String> {
         let records = self.records.iter();
-        let broken = records.flat_map(|record| {
-            let noted = record.violations.iter().cloned();
-            noted
-                .chain(record.over_exposure())
-                .chain(record.wrong_end())
+        let violations = records.flat_map(|record| {
+            let recorded = record.violations.iter().cloned();
+            recorded
+                .chain(record.exposure_violation())
+                .chain(record.outcome_violation())
         });
-        broken.collect()
+        violations.collect()
     }
 }
--- a/crates/tansylead-emulator/src/roll_out_table.rs
+++ b/crates/tansylead-emulator/src/roll_out_table.rs
@@ -1,31 +1,31 @@
-//! Reports of roll-outs, as text.
+//! Formats reports of roll-outs as text.
 
 use crate::roll_out_runs::RunsReport;
 use crate::seen_roll_out::{RollOutEnd, SeenRollOut};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One roll-out in a line.
+/// Formats a roll-out as one line.
 pub fn line(seen: &SeenRollOut) -> String {
     let order = &seen.order;
     let end = match seen.end {
         Some((end, after)) => format!("{end:?} after {:.1} s", after.as_secs_f64()),
-        None if seen.is_superseded => "replaced or taken back".to_owned(),
+        None if seen.is_superseded => "replaced or revoked".to_owned(),
         None => "no end".to_owned(),
     };
-    let back = seen.back.map_or_else(
+    let roll_back_time = seen.roll_back_time.map_or_else(
         || "-".to_owned(),
-        |back| format!("{:.1} s", back.as_secs_f64()),
+        |time| format!("{:.1} s", time.as_secs_f64()),
     );
     format!(
-        "{} to {} in {:.1} s ({}): {end}, {} sends of {:.0}, back {back}, {} cut{}",
+        "{} to {} in {:.1} s ({}): {end}, {} sends of {:.0} allowed, rolled back in {roll_back_time}, {} interrupted{}",
         order.service,
         order.target,
         order.duration.as_secs_f64(),
         order.kind,
         seen.sends,
         seen.allowed(),
-        seen.cut,
+        seen.interrupted,
         if seen.is_disturbed { ", disturbed" } else { "" },
     )
 }
@@ -38,36 +38,36 @@
     late: usize,
     wrong: usize,
     no_end: usize,
-    cut: usize,
-    worst_use: f64,
-    backs: Vec<Duration>,
-    times: Vec<Duration>,
+    interrupted: usize,
+    maximum_use: f64,
+    roll_back_times: Vec<Duration>,
+    end_times: Vec<Duration>,
 }
 
 impl Row {
     fn add(&mut self, seen: &SeenRollOut) {
         self.count += 1;
-        self.in_time += usize::from(seen.is_duty_done());
+        self.in_time += usize::from(seen.is_as_required());
         self.wrong += usize::from(seen.is_wrong());
         self.no_end += usize::from(seen.end.is_none());
-        let is_late = seen.end.is_some() && !seen.is_wrong() && !seen.is_duty_done();
+        let is_late = seen.end.is_some() && !seen.is_wrong() && !seen.is_as_required();
         self.late += usize::from(is_late);
-        self.cut += seen.cut;
-        // What follows a completion on time is no exposure any more.
+        self.interrupted += seen.interrupted;
+        // Sends after a completion on time no longer count as exposure.
         if seen.end.is_none_or(|(end, _)| end != RollOutEnd::Completed) {
             let used = f64::from(seen.sends) / seen.allowed();
-            self.worst_use = self.worst_use.max(used);
+            self.maximum_use = self.maximum_use.max(used);
         }
-        self.backs.extend(seen.back);
-        self.times.extend(seen.end.map(|(_, after)| after));
+        self.roll_back_times.extend(seen.roll_back_time);
+        self.end_times.extend(seen.end.map(|(_, after)| after));
     }
 
     fn text(&self) -> String {
         let seconds = |times: &[Duration]| {
-            let worst = times.iter().max();
-            worst.map_or_else(
+            let longest = times.iter().max();
+            longest.map_or_else(
                 || "-".to_owned(),
-                |worst| format!("{:.1}", worst.as_secs_f64()),
+                |longest| format!("{:.1}", longest.as_secs_f64()),
             )
         };
         format!(
@@ -77,16 +77,16 @@
             self.late,
             self.wrong,
             self.no_end,
-            self.cut,
-            self.worst_use,
-            seconds(&self.backs),
-            seconds(&self.times),
+            self.interrupted,
+            self.maximum_use,
+            seconds(&self.roll_back_times),
+            seconds(&self.end_times),
         )
     }
 }
 
-/// All roll-outs by kind: how many ended as they should in time, late, wrongly or not at all; requests cut;
-/// the worst use of the bound on sends; longest times to go back and to end, in seconds.
+/// Table of all roll-outs by kind: how many ended as required in time, late, wrongly or not at all; interrupted
+/// requests; the largest use of the bound on sends; the longest times to roll back and to end, in seconds.
 pub fn table(reports: &[RunsReport]) -> String {
     let mut rows: BTreeMap<(bool, String), Row> = BTreeMap::new();
     for seen in reports.iter().flat_map(|report| &report.roll_outs) {
--- a/crates/tansylead-emulator/src/routes.rs
+++ b/crates/tansylead-emulator/src/routes.rs
@@ -7,16 +7,16 @@
 pub struct Routes {
     /// Query over all shards.
     pub query: RoutePlan,
-    /// Lookup at one leaf; may be repeated.
+    /// Lookup at one leaf; repeatable.
     pub lookup: RoutePlan,
-    /// Post to one leaf; may not be repeated.
+    /// Post to one leaf; not repeatable.
     pub post: RoutePlan,
     /// Two routes for each further service.
     pub further: Vec<RoutePlan>,
 }
 
 impl Routes {
-    /// Routes over this many shards and further services.
+    /// Builds the routes for this many shards and further services.
     pub fn new(shards: usize, further_services: usize) -> Self {
         let shard_names = (0..shards).map(|shard| format!("shard-{shard}"));
         Self {
--- a/crates/tansylead-emulator/src/soak.rs
+++ b/crates/tansylead-emulator/src/soak.rs
@@ -1,7 +1,7 @@
-//! A randomized soak of the real programs under faults injected from outside.
+//! A randomized soak test of the real daemons under injected faults.
 //!
-//! The seed fixes the order, kinds and places of faults and the callers' choices; what the
-//! machine's scheduler does is not fixed.
+//! The seed determines the order, kinds and places of the faults and the callers' choices, but not
+//! the machine's scheduling.
 
 pub(crate) mod draw;
 pub(crate) mod drills;
@@ -27,10 +27,10 @@
 use suspension::Suspensions;
 use tokio::time::Instant;
 
-/// Callers.
+/// Number of callers.
 const CALLERS: usize = 24;
-/// A leaving leaf gets nothing this long after its word was acknowledged, with room for a busy
-/// machine.
+/// Time after its acknowledged announcement from which a leaving leaf must get nothing, with slack
+/// for a busy machine.
 pub const DRAIN_LIMIT: Duration = Duration::from_millis(3_500);
 /// Bound on extra arrivals: the daemons' default settings.
 pub const BUDGET: ArrivalBudget = ArrivalBudget {
@@ -38,30 +38,30 @@
     slack: 20.0,
     window: Duration::from_secs(10),
 };
-/// Time in which everything must be served again after the last fault.
+/// Time after the last fault within which everything must be served again.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(12);
 /// Time for a daemon to become ready at the start.
 pub const START_LIMIT: Duration = Duration::from_secs(20);
 
-/// What a soak found.
+/// Report of a soak.
 #[derive(Debug)]
 pub struct SoakReport {
     /// Seed.
     pub seed: u64,
-    /// Faults in order.
+    /// Injected faults, in order.
     pub faults: Vec<String>,
-    /// Promises broken.
+    /// Violated guarantees.
     pub violations: Vec<String>,
-    /// Roll-outs in the order of their orders.
+    /// Observations of all roll-outs, in the sequence of their orders.
     pub roll_outs: Vec<SeenRollOut>,
-    /// Requests by end.
+    /// Number of requests by outcome.
     pub counts: Counts,
-    /// Settings and logs; kept if a promise was broken.
+    /// Folder of settings and logs; kept if a guarantee was violated.
     pub folder: Option<PathBuf>,
 }
 
 /// Runs a soak.
-pub async fn run(plan: &DeploymentPlan, seed: u64, length: Duration) -> io::Result<SoakReport> {
+pub async fn run(plan: &DeploymentPlan, seed: u64, duration: Duration) -> io::Result<SoakReport> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut deployment = Deployment::start(plan).await?;
     let mut violations = Vec::new();
@@ -84,22 +84,22 @@
     );
     let mut suspensions = Suspensions::draw(seed);
     let mut drills = Drills::draw(seed);
-    let mut schedule = RollOutSchedule::draw(seed, length, &deployment.services());
-    let end = Instant::now() + length;
+    let mut schedule = RollOutSchedule::draw(seed, duration, &deployment.services());
+    let end = Instant::now() + duration;
     while Instant::now() < end {
-        schedule.proceed(&mut deployment).await?;
+        schedule.run_due(&mut deployment).await?;
         let fault = draw(&mut random);
         faults.push(format!("{fault:?}"));
         inject(&mut deployment, fault, &mut random, &mut violations).await?;
         deployment.restart_crashed_leafs().await?;
-        faults.extend(suspensions.proceed(&mut deployment).await);
-        faults.extend(drills.proceed(&mut deployment).await?);
+        faults.extend(suspensions.run_due(&mut deployment).await);
+        faults.extend(drills.run_due(&mut deployment).await?);
         let pause = Duration::from_millis(random.random_range(200..1_500));
         tokio::time::sleep(pause).await;
     }
     roll_outs::wait_for_ends(&deployment).await;
     drop(fatal);
-    deployment.rest_until_leafs_are_back().await?;
+    deployment.wait_and_restart_crashed_leafs().await?;
     violations.extend(check_recovery(&deployment).await);
     traffic.stop().await;
     violations.extend(deployment.oracle.violations(DRAIN_LIMIT, BUDGET));
@@ -116,7 +116,7 @@
     })
 }
 
-/// After the last fault, every daemon serves every route again.
+/// Checks that every daemon serves every route again after the last fault.
 async fn check_recovery(deployment: &Deployment) -> Vec<String> {
     const CHECK_PERIOD: Duration = Duration::from_millis(200);
     let deadline = Instant::now() + RECOVERY_LIMIT;
@@ -125,7 +125,10 @@
         for route in deployment.routes.all() {
             while !is_served(deployment, daemon, &route).await {
                 if Instant::now() > deadline {
-                    violations.push(format!("RECOVER: daemon {daemon} serves no {}", route.name));
+                    violations.push(format!(
+                        "RECOVER: daemon {daemon} does not serve {}",
+                        route.name
+                    ));
                     break;
                 }
                 tokio::time::sleep(CHECK_PERIOD).await;
@@ -142,6 +145,6 @@
 ) -> bool {
     match deployment.call(daemon, route).await {
         crate::oracle::CallerEnd::Answer(answer) => (200..300).contains(&answer.status),
-        crate::oracle::CallerEnd::Nothing => false,
+        crate::oracle::CallerEnd::NoAnswer => false,
     }
 }
--- a/crates/tansylead-emulator/src/soak/drills.rs
+++ b/crates/tansylead-emulator/src/soak/drills.rs
@@ -1,5 +1,5 @@
-//! Drills beside the other faults of a soak: the store comes back from a copy some seconds old, leafs start again
-//! under the id that they had, and another writer leaves entries among those of the leafs.
+//! Additional faults of a soak: the store is restored from a copy that is some seconds old, leafs restart under their
+//! ids, and another writer adds entries to those of the leafs.
 
 use crate::deployment::Deployment;
 use crate::store::StoreCopy;
@@ -10,20 +10,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Keeps the numbers drawn here apart from those of the faults: these stay what a seed has always meant.
+/// Separates these draws from those of the other faults, so that a seed keeps giving the same faults.
 const SEED_OFFSET: u64 = 0x6472_696c_6c73;
-/// Share of the faults of a soak after which the store comes back from a copy.
+/// Share of a soak's faults after which the store is restored from a copy.
 const RESTORE_SHARE: f64 = 0.12;
-/// Share after which it does so twice.
+/// Share of restores that are done twice.
 const TWICE_SHARE: f64 = 0.3;
-/// Share after which a leaf starts again under its id.
-const REBORN_SHARE: f64 = 0.1;
-/// Share after which another writer leaves an entry.
+/// Share of a soak's faults after which a leaf restarts under its id.
+const SAME_ID_RESTART_SHARE: f64 = 0.1;
+/// Share of a soak's faults after which another writer adds an entry.
 const FOREIGN_SHARE: f64 = 0.1;
-/// A copy is no older than this.
-const OLDEST_COPY: Duration = Duration::from_secs(12);
+/// Maximum age of a copy.
+const MAXIMUM_COPY_AGE: Duration = Duration::from_secs(12);
 
-/// When there are drills, and which.
+/// Draws and runs the drills of a soak.
 #[derive(Debug)]
 pub(crate) struct Drills {
     random: StdRng,
@@ -31,7 +31,7 @@
 }
 
 impl Drills {
-    /// The drills of a seed.
+    /// Prepares the drills of a seed.
     pub(crate) fn draw(seed: u64) -> Self {
         Self {
             random: StdRng::seed_from_u64(seed.wrapping_add(SEED_OFFSET)),
@@ -39,20 +39,20 @@
         }
     }
 
-    /// Holds drills, or none. Returns what was done.
-    pub(crate) async fn proceed(&mut self, deployment: &mut Deployment) -> io::Result<Vec<String>> {
+    /// Runs the drills that are drawn now, if any. Returns a description of each.
+    pub(crate) async fn run_due(&mut self, deployment: &mut Deployment) -> io::Result<Vec<String>> {
         let mut done = Vec::new();
         if self.random.random_bool(RESTORE_SHARE) {
             done.extend(self.restore(deployment).await);
         }
-        if self.random.random_bool(REBORN_SHARE) {
+        if self.random.random_bool(SAME_ID_RESTART_SHARE) {
             done.push(self.restart_leaf(deployment).await?);
         }
         if self.random.random_bool(FOREIGN_SHARE) {
-            done.push(self.leave_entry(deployment));
+            done.push(self.add_foreign_entry(deployment));
         }
         self.copies
-            .retain(|(taken, _)| taken.elapsed() < OLDEST_COPY);
+            .retain(|(taken, _)| taken.elapsed() < MAXIMUM_COPY_AGE);
         self.copies.push((Instant::now(), deployment.store.copy()));
         Ok(done)
     }
@@ -74,16 +74,16 @@
 
     async fn restart_leaf(&mut self, deployment: &mut Deployment) -> io::Result<String> {
         let index = self.random.random_range(0..deployment.leafs.len());
-        let time = Duration::from_millis(self.random.random_range(50..2_500));
+        let downtime = Duration::from_millis(self.random.random_range(50..2_500));
         deployment.leafs[index].leaf = None;
         deployment.leafs[index].proxy.reset();
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(downtime).await;
         deployment.restart_leaf_under_its_id(index).await?;
-        Ok(format!("LeafReborn({index}, {time:?})"))
+        Ok(format!("LeafRestartedUnderItsId({index}, {downtime:?})"))
     }
 
-    /// An entry beside those of leafs; it names an address where nobody listens.
-    fn leave_entry(&mut self, deployment: &Deployment) -> String {
+    /// Adds an entry among those of the leafs; its address has no listener.
+    fn add_foreign_entry(&mut self, deployment: &Deployment) -> String {
         let entry = foreign_entries()
             .choose(&mut self.random)
             .cloned()
--- a/crates/tansylead-emulator/src/soak/fatal.rs
+++ b/crates/tansylead-emulator/src/soak/fatal.rs
@@ -1,5 +1,5 @@
-//! A request that ends each leaf which begins to run it, and comes again and again: in bursts of copies at any
-//! daemons, each of which its caller repeats once.
+//! Repeatedly sends a request that crashes every leaf that runs it: in bursts of copies to random daemons, each of
+//! which its caller retries once.
 
 use crate::caller::{Caller, CallerRequest};
 use crate::configuration::RoutePlan;
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Keeps the numbers drawn here apart from those of the faults: these stay what a seed has always meant.
+/// Separates these draws from those of the faults, so that a seed keeps giving the same faults.
 const SEED_OFFSET: u64 = 0x6661_7461_6c00;
 /// Share of seeds with such a request.
 const SHARE: f64 = 0.5;
-/// Copies in one burst, at most.
+/// Maximum number of copies in a burst.
 const MAXIMUM_COPIES: u32 = 4;
 
 /// The caller; it stops when this is dropped.
@@ -25,7 +25,7 @@
 }
 
 impl FatalCaller {
-    /// The caller of a seed; none if it has none.
+    /// Starts the caller of a seed, if the seed has one.
     pub(crate) fn draw(
         seed: u64,
         daemons: Vec<SocketAddr>,
@@ -38,7 +38,7 @@
         }
         let choices = [&routes.query, &routes.query, &routes.lookup, &routes.post];
         let route = (*choices.choose(&mut random)?).clone();
-        let calling = call(daemons, route, oracle.clone(), random);
+        let calling = call_repeatedly(daemons, route, oracle.clone(), random);
         Some(Self {
             task: tokio::spawn(calling).abort_handle(),
         })
@@ -51,7 +51,12 @@
     }
 }
 
-async fn call(daemons: Vec<SocketAddr>, route: RoutePlan, oracle: Oracle, mut random: StdRng) {
+async fn call_repeatedly(
+    daemons: Vec<SocketAddr>,
+    route: RoutePlan,
+    oracle: Oracle,
+    mut random: StdRng,
+) {
     loop {
         let pause = Duration::from_millis(random.random_range(1_000..4_000));
         tokio::time::sleep(pause).await;
@@ -60,14 +65,14 @@
         for _ in 0..copies {
             let first = daemons.choose(&mut random).copied();
             let second = daemons.choose(&mut random).copied();
-            let tries = first.into_iter().chain(second).collect();
-            burst.spawn(send(tries, route.clone(), oracle.clone()));
+            let attempts = first.into_iter().chain(second).collect();
+            burst.spawn(send(attempts, route.clone(), oracle.clone()));
         }
         while burst.join_next().await.is_some() {}
     }
 }
 
-/// Sends one copy to one daemon after the other, until one serves it.
+/// Sends a copy to one daemon after the other until one serves it.
 async fn send(daemons: Vec<SocketAddr>, route: RoutePlan, oracle: Oracle) {
     let deadline = Duration::from_millis(route.timeout_millis);
     let mut caller = Caller::new(oracle);
--- a/crates/tansylead-emulator/src/soak/inject.rs
+++ b/crates/tansylead-emulator/src/soak/inject.rs
@@ -1,24 +1,24 @@
-//! Faults injected into a running deployment.
+//! Injects faults into a running deployment.
 
-use super::draw::{DaemonTrouble, Fault};
+use super::draw::{DaemonFault, Fault};
 use crate::deployment::{Deployment, region_of};
-use crate::leaf::LeafTrouble;
-use crate::proxy::LinkTrouble;
-use crate::store::StoreTrouble;
+use crate::leaf::LeafFault;
+use crate::proxy::LinkFault;
+use crate::store::StoreFault;
 use rand::{RngExt, rngs::StdRng};
 use std::io;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A daemon's planned stop ends within this time.
+/// Time limit for a daemon's planned stop.
 const STOP_LIMIT: Duration = Duration::from_millis(6_500);
-/// Time in which a change of homes is in force: the daemons' default setting, with room for a busy
-/// machine.
+/// Time after which a change of home regions must be in force: the daemons' default setting, with
+/// slack for a busy machine.
 const HOMES_APPLY_LIMIT: Duration = Duration::from_millis(3_500);
-/// Longest time for which the next write of a daemon is waited for: writes come with roll-outs.
+/// Maximum wait for the next write of a daemon: daemons write only during roll-outs.
 const WRITER_WAIT: Duration = Duration::from_secs(4);
 
-/// Injects a fault and, where it lasts, ends it again.
+/// Injects a fault and, if it has a duration, ends it again.
 pub(crate) async fn inject(
     deployment: &mut Deployment,
     fault: Fault,
@@ -26,25 +26,25 @@
     violations: &mut Vec<String>,
 ) -> io::Result<()> {
     deployment.oracle.begin_fault(fault.is_core());
-    let injected = strike(deployment, fault, random, violations).await;
+    let result = apply(deployment, fault, random, violations).await;
     deployment.oracle.end_fault(fault.is_core());
-    injected
+    result
 }
 
-async fn strike(
+async fn apply(
     deployment: &mut Deployment,
     fault: Fault,
     random: &mut StdRng,
     violations: &mut Vec<String>,
 ) -> io::Result<()> {
-    // The same numbers are drawn whatever the counts are, so that a seed gives the same faults.
+    // Draws full integers whatever the counts are, so that a seed always gives the same faults.
     let leaf = random.random::<u32>() as usize % deployment.leafs.len();
     let daemon = random.random::<u32>() as usize % deployment.daemons.len();
     match fault {
-        Fault::LeafTrouble(trouble, time) => {
-            set_leaf_trouble(deployment, leaf, trouble);
+        Fault::LeafFault(leaf_fault, time) => {
+            set_leaf_fault(deployment, leaf, leaf_fault);
             tokio::time::sleep(time).await;
-            set_leaf_trouble(deployment, leaf, LeafTrouble::None);
+            set_leaf_fault(deployment, leaf, LeafFault::None);
         }
         Fault::LeafCrash(time) => {
             deployment.leafs[leaf].leaf = None;
@@ -52,20 +52,20 @@
             tokio::time::sleep(time).await;
             deployment.restart_leaf(leaf).await?;
         }
-        Fault::LeafLeaves => leave(deployment, leaf).await?,
-        Fault::LeafLink(trouble, time) => {
+        Fault::LeafLeaves => replace_leaf(deployment, leaf).await?,
+        Fault::LeafLink(link_fault, time) => {
             let link = &deployment.leafs[leaf].proxy;
-            link.set_trouble(trouble);
+            link.set_fault(link_fault);
             tokio::time::sleep(time).await;
-            link.set_trouble(LinkTrouble::None);
+            link.set_fault(LinkFault::None);
             link.reset();
         }
         Fault::DaemonKilled(time) => {
-            strike_daemon(deployment, daemon, DaemonTrouble::Killed, time).await?;
+            apply_daemon_fault(deployment, daemon, DaemonFault::Killed, time).await?;
         }
-        Fault::DaemonStopped => stop(deployment, daemon, violations).await?,
+        Fault::DaemonStopped => stop_daemon(deployment, daemon, violations).await?,
         Fault::DaemonFrozen(time) => {
-            strike_daemon(deployment, daemon, DaemonTrouble::Frozen, time).await?;
+            apply_daemon_fault(deployment, daemon, DaemonFault::Frozen, time).await?;
         }
         Fault::DaemonHangUp => deployment.daemons[daemon].daemon.hang_up(),
         Fault::AllDaemonsKilled => {
@@ -76,18 +76,18 @@
                 proxied.daemon.restart()?;
             }
         }
-        Fault::Store(trouble, time) => {
-            deployment.store.set_trouble(trouble);
+        Fault::Store(store_fault, time) => {
+            deployment.store.set_fault(store_fault);
             tokio::time::sleep(time).await;
-            deployment.store.set_trouble(StoreTrouble::None);
+            deployment.store.set_fault(StoreFault::None);
         }
-        Fault::StoreLink(trouble, time) => {
+        Fault::StoreLink(link_fault, time) => {
             let link = &deployment.daemons[daemon].store_link;
-            link.set_trouble(trouble);
+            link.set_fault(link_fault);
             tokio::time::sleep(time).await;
-            link.set_trouble(LinkTrouble::None);
+            link.set_fault(LinkFault::None);
         }
-        Fault::StoreForgets => deployment.store.forget_history(),
+        Fault::HistoryDiscarded => deployment.store.discard_history(),
         Fault::Configuration => {
             let routes = deployment.routes.all();
             deployment.configure(&routes);
@@ -100,9 +100,9 @@
         }
         Fault::LeafCold(time) => {
             if let Some(cold) = &deployment.leafs[leaf].leaf {
-                cold.turn_cold(time);
+                cold.announce_cold(time);
                 tokio::time::sleep(time).await;
-                cold.turn_warm();
+                cold.announce_warm();
             }
         }
         Fault::ZoneLost(time) => {
@@ -117,18 +117,20 @@
             tokio::time::sleep(time).await;
             deployment.cut_zone(&zone, false);
         }
-        Fault::NextWriter(trouble, time) => strike_next_writer(deployment, trouble, time).await?,
+        Fault::NextWriter(daemon_fault, time) => {
+            apply_to_next_writer(deployment, daemon_fault, time).await?
+        }
         Fault::ConnectionsSilent => {
             deployment.silence_store_links();
             deployment.silence_leaf_links();
         }
-        Fault::Homes(time) => confine_lookups(deployment, leaf, time).await,
+        Fault::Homes(time) => restrict_lookups(deployment, leaf, time).await,
     }
     Ok(())
 }
 
-/// Confines lookups to the region of a leaf for a while; others than the callers' go on asking for it.
-async fn confine_lookups(deployment: &mut Deployment, leaf: usize, time: Duration) {
+/// Restricts lookups to the region of a leaf for some time, and sends lookups to all daemons meanwhile.
+async fn restrict_lookups(deployment: &mut Deployment, leaf: usize, time: Duration) {
     let home = region_of(&deployment.leafs[leaf].plan.zone);
     let mut routes = deployment.routes.clone();
     routes.lookup.homes = vec![home];
@@ -144,54 +146,55 @@
     deployment.configure(&deployment.routes.all());
 }
 
-async fn strike_daemon(
+async fn apply_daemon_fault(
     deployment: &mut Deployment,
     index: usize,
-    trouble: DaemonTrouble,
+    fault: DaemonFault,
     time: Duration,
 ) -> io::Result<()> {
     let proxied = &mut deployment.daemons[index];
-    match trouble {
-        DaemonTrouble::Killed => {
+    match fault {
+        DaemonFault::Killed => {
             proxied.daemon.kill();
             tokio::time::sleep(time).await;
             proxied.daemon.restart()?;
         }
-        DaemonTrouble::Frozen => {
+        DaemonFault::Frozen => {
             proxied.daemon.freeze();
             tokio::time::sleep(time).await;
             proxied.daemon.thaw();
         }
-        DaemonTrouble::Cut => {
-            proxied.store_link.set_trouble(LinkTrouble::Silent);
+        DaemonFault::Cut => {
+            proxied.store_link.set_fault(LinkFault::Silent);
             tokio::time::sleep(time).await;
-            proxied.store_link.set_trouble(LinkTrouble::None);
+            proxied.store_link.set_fault(LinkFault::None);
         }
     }
     Ok(())
 }
 
-/// Waits for the next write of a daemon to the store and strikes that daemon. Does nothing if none comes.
-async fn strike_next_writer(
+/// Waits for the next write of a daemon to the store and applies the fault to that daemon. Does nothing if there is no
+/// write in time.
+async fn apply_to_next_writer(
     deployment: &mut Deployment,
-    trouble: DaemonTrouble,
+    fault: DaemonFault,
     time: Duration,
 ) -> io::Result<()> {
     match deployment.wait_for_writer(WRITER_WAIT).await {
-        Some(writer) => strike_daemon(deployment, writer, trouble, time).await,
+        Some(writer) => apply_daemon_fault(deployment, writer, fault, time).await,
         None => Ok(()),
     }
 }
 
-fn set_leaf_trouble(deployment: &Deployment, index: usize, trouble: LeafTrouble) {
+fn set_leaf_fault(deployment: &Deployment, index: usize, fault: LeafFault) {
     if let Some(leaf) = &deployment.leafs[index].leaf {
-        leaf.set_trouble(trouble);
+        leaf.set_fault(fault);
     }
 }
 
-/// A planned end: the leaf says so, serves on, and ends; another takes its place.
-async fn leave(deployment: &mut Deployment, index: usize) -> io::Result<()> {
-    const SERVES_ON: Duration = Duration::from_millis(4_000);
+/// Planned stop of a leaf: it announces that it is leaving, serves for some time, and stops; another one replaces it.
+async fn replace_leaf(deployment: &mut Deployment, index: usize) -> io::Result<()> {
+    const DRAIN_DURATION: Duration = Duration::from_millis(4_000);
     if deployment.leafs[index].control.is_retired() {
         return Ok(());
     }
@@ -201,14 +204,14 @@
     let plan = deployment.leafs[index].plan.clone();
     let added = deployment.add_leaf_of(&plan.service, &plan.zone, plan.work, plan.version);
     added.await?;
-    tokio::time::sleep(SERVES_ON).await;
-    let left = deployment.leafs.swap_remove(index);
-    deployment.store.delete("servers", &left.plan.id);
+    tokio::time::sleep(DRAIN_DURATION).await;
+    let removed = deployment.leafs.swap_remove(index);
+    deployment.store.delete("servers", &removed.plan.id);
     Ok(())
 }
 
-/// A planned stop: the daemon must end by itself in time.
-async fn stop(
+/// Planned stop of a daemon: its process must exit by itself in time.
+async fn stop_daemon(
     deployment: &mut Deployment,
     index: usize,
     violations: &mut Vec<String>,
@@ -217,7 +220,7 @@
     let daemon = &mut deployment.daemons[index].daemon;
     daemon.terminate();
     let deadline = Instant::now() + STOP_LIMIT;
-    while daemon.ended().is_none() {
+    while daemon.exit_status().is_none() {
         if Instant::now() > deadline {
             violations.push(format!("STOP: {} did not end", daemon.plan().name));
             break;
--- a/crates/tansylead-emulator/src/soak/roll_outs.rs
+++ b/crates/tansylead-emulator/src/soak/roll_outs.rs
@@ -1,37 +1,37 @@
-//! Roll-outs of a soak: drawn beforehand from the seed, ordered when they are due.
+//! Roll-outs of a soak: drawn from the seed at the start, ordered when they are due.
 
 use crate::deployment::Deployment;
 use crate::roll_out_plan::{RollOutPlan, TargetLeafs};
-use crate::version::{FIRST_VERSION, VersionTrouble};
+use crate::version::{FIRST_VERSION, VersionDefect};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::VecDeque;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Keeps the draws of roll-outs apart from those of faults.
+/// Separates the draws of roll-outs from those of faults.
 const SEED_OFFSET: u64 = 0x5eed_0f00_0000_0000;
 /// Durations of roll-outs, in milliseconds.
-const SHORTEST_MILLIS: u64 = 5_000;
-const LONGEST_MILLIS: u64 = 9_000;
-/// Pause between two roll-outs, in milliseconds: one is under way a third to half of the time.
+const MINIMUM_DURATION_MILLIS: u64 = 5_000;
+const MAXIMUM_DURATION_MILLIS: u64 = 9_000;
+/// Pause between two roll-outs, in milliseconds: one is in progress for a third to half of the time.
 const PAUSE_MILLIS: std::ops::Range<u64> = 4_000..16_000;
 /// Share of roll-outs whose order is replaced by another one midway.
 const REPLACED_SHARE: f64 = 0.15;
-/// Share of roll-outs whose order is taken back midway.
-const TAKEN_BACK_SHARE: f64 = 0.1;
-/// Share of roll-outs that go to the version that the deployment started with.
-const OLDER_SHARE: f64 = 0.1;
-/// Time after its deadline in which a roll-out may still end: the store may have been away.
+/// Share of roll-outs whose order is revoked midway.
+const REVOKED_SHARE: f64 = 0.1;
+/// Share of roll-outs to the version that the deployment started with.
+const FIRST_VERSION_SHARE: f64 = 0.1;
+/// Time after its deadline within which a roll-out may still end, because the store may have been unavailable.
 const LATE_END_LIMIT: Duration = Duration::from_secs(12);
 
 #[derive(Debug, Clone)]
 enum Step {
     Order(RollOutPlan),
-    TakeBack(String),
+    Revoke(String),
 }
 
-/// The roll-outs of a soak that are still to come.
+/// The remaining roll-outs of a soak.
 #[derive(Debug)]
 pub(crate) struct RollOutSchedule {
     started: Instant,
@@ -39,13 +39,13 @@
 }
 
 impl RollOutSchedule {
-    /// Draws the roll-outs of a soak of this length.
-    pub(crate) fn draw(seed: u64, length: Duration, services: &[String]) -> Self {
+    /// Draws the roll-outs of a soak of this duration.
+    pub(crate) fn draw(seed: u64, duration: Duration, services: &[String]) -> Self {
         let mut random = StdRng::seed_from_u64(seed ^ SEED_OFFSET);
         let mut steps = VecDeque::new();
         let mut at = Duration::from_secs(1);
         let mut number = 2;
-        while at < length {
+        while at < duration {
             let Some(service) = services.choose(&mut random) else {
                 break;
             };
@@ -53,15 +53,15 @@
             let (middle, end) = (at + plan.duration / 2, at + plan.duration);
             steps.push_back((at, Step::Order(plan.clone())));
             if random.random_bool(REPLACED_SHARE) {
-                // The same version again is as good or bad as it was.
+                // A repeated order has the same version with the same defect.
                 let other = if random.random_bool(0.5) {
                     plan
                 } else {
                     draw_roll_out(&mut random, service, &format!("v{}", number + 1))
                 };
                 steps.push_back((middle, Step::Order(other)));
-            } else if random.random_bool(TAKEN_BACK_SHARE) {
-                steps.push_back((middle, Step::TakeBack(service.clone())));
+            } else if random.random_bool(REVOKED_SHARE) {
+                steps.push_back((middle, Step::Revoke(service.clone())));
             }
             at = end + Duration::from_millis(random.random_range(PAUSE_MILLIS));
             number += 2;
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Does what is due.
-    pub(crate) async fn proceed(&mut self, deployment: &mut Deployment) -> io::Result<()> {
+    /// Runs the steps that are due.
+    pub(crate) async fn run_due(&mut self, deployment: &mut Deployment) -> io::Result<()> {
         let now = self.started.elapsed();
         while self.steps.front().is_some_and(|(at, _)| *at <= now) {
             let Some((_, step)) = self.steps.pop_front() else {
@@ -84,7 +84,7 @@
                 Step::Order(plan) => {
                     deployment.roll_out(&plan).await?;
                 }
-                Step::TakeBack(service) => deployment.take_back(&service),
+                Step::Revoke(service) => deployment.revoke_roll_out(&service),
             }
         }
         Ok(())
@@ -92,45 +92,45 @@
 }
 
 fn draw_roll_out(random: &mut StdRng, service: &str, target: &str) -> RollOutPlan {
-    let duration = random.random_range(SHORTEST_MILLIS..LONGEST_MILLIS);
+    let duration = random.random_range(MINIMUM_DURATION_MILLIS..MAXIMUM_DURATION_MILLIS);
     let duration = Duration::from_millis(duration);
-    if random.random_bool(OLDER_SHARE) {
+    if random.random_bool(FIRST_VERSION_SHARE) {
         return RollOutPlan::good(service, FIRST_VERSION, duration);
     }
-    spoil(random, RollOutPlan::good(service, target, duration))
+    draw_defect(random, RollOutPlan::good(service, target, duration))
 }
 
-/// Makes half of the roll-outs bad, in one of the ways in which they can be.
-pub(crate) fn spoil(random: &mut StdRng, good: RollOutPlan) -> RollOutPlan {
+/// Gives half of the roll-outs a random defect.
+pub(crate) fn draw_defect(random: &mut StdRng, good: RollOutPlan) -> RollOutPlan {
     if random.random_bool(0.5) {
         return good;
     }
     let share = random.random_range(0.1..0.5);
-    let part = good.duration.mul_f64(random.random_range(0.2..0.7));
-    let mut leafs = TargetLeafs::Come;
-    let trouble = match random.random_range(0..8) {
-        0 | 1 => VersionTrouble::Fails(share),
-        2 => VersionTrouble::FailsLater(part, share),
-        3 => VersionTrouble::FailsUnderLoad(random.random_range(4..8), share),
-        4 => VersionTrouble::FailsOnPath(read_path(&good.service), share),
-        5 => VersionTrouble::Slow(random.random_range(3.0..8.0)),
+    let delay = good.duration.mul_f64(random.random_range(0.2..0.7));
+    let mut leafs = TargetLeafs::Start;
+    let defect = match random.random_range(0..8) {
+        0 | 1 => VersionDefect::Fails(share),
+        2 => VersionDefect::FailsLater(delay, share),
+        3 => VersionDefect::FailsUnderLoad(random.random_range(4..8), share),
+        4 => VersionDefect::FailsOnPath(read_path(&good.service), share),
+        5 => VersionDefect::Slow(random.random_range(3.0..8.0)),
         6 => {
             leafs = TargetLeafs::Never;
-            VersionTrouble::None
+            VersionDefect::None
         }
         _ => {
-            leafs = TargetLeafs::Crash(part);
-            VersionTrouble::None
+            leafs = TargetLeafs::Crash(delay);
+            VersionDefect::None
         }
     };
     RollOutPlan {
-        trouble,
+        defect,
         leafs,
         ..good
     }
 }
 
-/// Path of one of the two routes of a further service; other services have one route.
+/// Path prefix of one of the two routes of a further service; other services have a single route.
 fn read_path(service: &str) -> String {
     if service.starts_with("further-") {
         format!("/{service}-read/")
@@ -139,10 +139,10 @@
     }
 }
 
-/// Waits until all roll-outs have ended, or are long past their deadlines.
+/// Waits until all roll-outs have ended or their deadlines are long past.
 pub(crate) async fn wait_for_ends(deployment: &Deployment) {
     const PERIOD: Duration = Duration::from_millis(100);
-    let limit = Duration::from_millis(LONGEST_MILLIS) + LATE_END_LIMIT;
+    let limit = Duration::from_millis(MAXIMUM_DURATION_MILLIS) + LATE_END_LIMIT;
     let started = Instant::now();
     let is_open = |service: &String| deployment.is_rolling_out(service);
     while deployment.services().iter().any(is_open) && started.elapsed() < limit {
--- a/crates/tansylead-emulator/src/soak/suspension.rs
+++ b/crates/tansylead-emulator/src/soak/suspension.rs
@@ -1,35 +1,35 @@
-//! Machines that are suspended for seconds: the process stands still, and nothing passes on its link to the
-//! store.
+//! Machines that are suspended for seconds: the daemon's process is stopped, and nothing is forwarded on its link to
+//! the store.
 //!
-//! What cannot be emulated here is that the steady clock stands still too: all processes share one machine.
-//! Waits over such a time have a test of their own in the gateway.
+//! On a suspended machine the monotonic clock stops too. That cannot be emulated here, because all processes share one
+//! machine; the gateway has a separate test for waits across such a suspension.
 
 use crate::deployment::Deployment;
-use crate::proxy::LinkTrouble;
+use crate::proxy::LinkFault;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::time::Duration;
 
-/// Keeps the numbers drawn here apart from those of the faults: these stay what a seed has always meant.
+/// Separates these draws from those of the faults, so that a seed keeps giving the same faults.
 const SEED_OFFSET: u64 = 0x7375_7370_656e;
-/// Share of the faults of a soak after which a machine is suspended.
+/// Share of a soak's faults after which a machine is suspended.
 const SHARE: f64 = 0.1;
 
-/// When machines are suspended, and for how long.
+/// Draws and runs the suspensions of a soak.
 #[derive(Debug)]
 pub(crate) struct Suspensions {
     random: StdRng,
 }
 
 impl Suspensions {
-    /// The suspensions of a seed.
+    /// Prepares the suspensions of a seed.
     pub(crate) fn draw(seed: u64) -> Self {
         Self {
             random: StdRng::seed_from_u64(seed.wrapping_add(SEED_OFFSET)),
         }
     }
 
-    /// Suspends a machine, or not. Returns what was done.
-    pub(crate) async fn proceed(&mut self, deployment: &mut Deployment) -> Option<String> {
+    /// Suspends a machine if one is drawn now. Returns a description.
+    pub(crate) async fn run_due(&mut self, deployment: &mut Deployment) -> Option<String> {
         if !self.random.random_bool(SHARE) {
             return None;
         }
@@ -37,11 +37,11 @@
         let time = Duration::from_millis(self.random.random_range(1_000..5_000));
         deployment.oracle.begin_fault(true);
         let machine = &mut deployment.daemons[index];
-        machine.store_link.set_trouble(LinkTrouble::Silent);
+        machine.store_link.set_fault(LinkFault::Silent);
         machine.daemon.freeze();
         tokio::time::sleep(time).await;
         machine.daemon.thaw();
-        machine.store_link.set_trouble(LinkTrouble::None);
+        machine.store_link.set_fault(LinkFault::None);
         deployment.oracle.end_fault(true);
         Some(format!("DaemonSuspended({index}, {time:?})"))
     }
--- a/crates/tansylead-emulator/src/store/calls.rs
+++ b/crates/tansylead-emulator/src/store/calls.rs
@@ -1,4 +1,4 @@
-//! Single calls to the store: paths, queries and bodies, and what they change or find.
+//! Parses calls to the store and executes them on its objects.
 
 use super::objects::{ObjectStore, StoreError};
 use super::server::Shared;
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A call that has come whole.
+/// A call that was received completely.
 #[derive(Debug)]
 pub(super) struct Call {
     method: Method,
@@ -20,7 +20,7 @@
 }
 
 impl Call {
-    /// Reads the call to its end.
+    /// Reads the complete call.
     pub(super) async fn receive(request: Request<Incoming>) -> Result<Self, hyper::Error> {
         let path = request.uri().path().to_owned();
         let query = parse_query(request.uri().query().unwrap_or(""));
@@ -34,20 +34,20 @@
         })
     }
 
-    /// The revision that the object must have: in the query, or in the object's `meta`.
-    fn condition(&self, object: &Value) -> Result<Option<u64>, NotARevision> {
+    /// The expected revision of the object: from the query, or from the object's `meta`.
+    fn condition(&self, object: &Value) -> Result<Option<u64>, InvalidRevision> {
         if let Some(revision) = self.query.get("revision") {
-            return revision.parse().map(Some).map_err(|_| NotARevision);
+            return revision.parse().map(Some).map_err(|_| InvalidRevision);
         }
         Ok(object["meta"]["revision"].as_u64())
     }
 }
 
-/// The condition of a write is no number.
+/// The expected revision of a write is not a number.
 #[derive(Debug)]
-struct NotARevision;
+struct InvalidRevision;
 
-/// Does what a call asks.
+/// Executes a call.
 pub(super) async fn handle(shared: &Shared, call: Call) -> Response<Full<Bytes>> {
     let segments: Vec<&str> = call.path.trim_matches('/').split('/').collect();
     match (&call.method, segments.as_slice()) {
@@ -91,12 +91,12 @@
     after: &str,
     query: &HashMap<String, String>,
 ) -> Response<Full<Bytes>> {
-    const LONGEST_WAIT_MILLIS: u64 = 30_000;
+    const MAXIMUM_WAIT_MILLIS: u64 = 30_000;
     let Ok(after) = after.parse::<u64>() else {
         return empty(StatusCode::BAD_REQUEST);
     };
     let wait = query.get("wait_ms").and_then(|wait| wait.parse().ok());
-    let wait = Duration::from_millis(wait.unwrap_or(0).min(LONGEST_WAIT_MILLIS));
+    let wait = Duration::from_millis(wait.unwrap_or(0).min(MAXIMUM_WAIT_MILLIS));
     let mut changed = shared.changed.subscribe();
     let deadline = tokio::time::Instant::now() + wait;
     loop {
--- a/crates/tansylead-emulator/src/store/mod.rs
+++ b/crates/tansylead-emulator/src/store/mod.rs
@@ -5,4 +5,4 @@
 mod server;
 
 pub use objects::{ListPage, ObjectStore, StoreCopy, StoreError, StoredObject, WatchEvent};
-pub use server::{StoreServer, StoreTrouble};
+pub use server::{StoreFault, StoreServer};
--- a/crates/tansylead-emulator/src/store/objects.rs
+++ b/crates/tansylead-emulator/src/store/objects.rs
@@ -12,9 +12,9 @@
 pub struct StoredObject {
     /// Name and revision.
     pub meta: ObjectMeta,
-    /// What its writer states.
+    /// Desired state, as its writer specifies it.
     pub spec: Value,
-    /// What is observed of it.
+    /// Observed state.
     pub status: Value,
 }
 
@@ -26,7 +26,7 @@
     /// Revision of its last change.
     #[serde(default)]
     pub revision: u64,
-    /// Revision at which it was made; stays while the object is there.
+    /// Revision at which it was created; never changes.
     #[serde(default)]
     pub made: u64,
 }
@@ -34,7 +34,7 @@
 /// One change.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct WatchEvent {
-    /// The object was removed.
+    /// Whether the object was removed.
     pub gone: bool,
     /// The object after the change, or as it was before its removal.
     pub object: StoredObject,
@@ -51,14 +51,14 @@
     pub at: u64,
 }
 
-/// Why a call changed or found nothing.
+/// Why a call failed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreError {
     /// No such object.
     NotFound,
-    /// The object is there already, or has another revision.
+    /// The object exists already, or has another revision.
     Conflict(Box<StoredObject>),
-    /// The history after the revision is gone.
+    /// The history does not reach back to the revision.
     HistoryGone,
 }
 
@@ -69,7 +69,7 @@
     event: WatchEvent,
 }
 
-/// The objects as they were at one moment.
+/// Copy of the store's objects at one point in time.
 #[derive(Debug, Clone)]
 pub struct StoreCopy {
     revision: u64,
@@ -77,7 +77,7 @@
 }
 
 impl StoreCopy {
-    /// An object as it was.
+    /// An object of the copy.
     pub fn get(&self, kind: &str, name: &str) -> Option<&StoredObject> {
         self.kinds.get(kind)?.get(name)
     }
@@ -86,35 +86,35 @@
 /// All objects.
 #[derive(Debug)]
 pub struct ObjectStore {
-    /// Rises each time the store comes back from a copy.
+    /// Incremented each time the store is restored from a copy.
     era: u64,
     revision: u64,
     kinds: BTreeMap<String, BTreeMap<String, StoredObject>>,
     history: VecDeque<LoggedEvent>,
-    /// Changes after this revision are in the history.
+    /// The history has all changes after this revision.
     history_start: u64,
-    page: usize,
+    page_objects: usize,
 }
 
 impl ObjectStore {
     /// An empty store whose lists have pages of this many objects.
-    pub fn new(page: usize) -> Self {
+    pub fn new(page_objects: usize) -> Self {
         Self {
             era: 1,
             revision: 1,
             kinds: BTreeMap::new(),
             history: VecDeque::new(),
             history_start: 1,
-            page: page.max(1),
+            page_objects: page_objects.max(1),
         }
     }
 
-    /// Counts how often the store came back from a copy.
+    /// Era of the store; incremented by each restore from a copy.
     pub fn era(&self) -> u64 {
         self.era
     }
 
-    /// A copy to come back from later.
+    /// Copies the objects, to restore them later.
     pub fn copy(&self) -> StoreCopy {
         StoreCopy {
             revision: self.revision,
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, and its revisions are given out again.
+    /// Restores a copy: later writes are lost, and their revisions are assigned again.
     pub fn restore(&mut self, copy: StoreCopy) {
         self.era += 1;
         self.revision = copy.revision;
         self.kinds = copy.kinds;
-        self.forget_history();
+        self.discard_history();
     }
 
     /// Revision of the last change.
@@ -135,14 +135,14 @@
         self.revision
     }
 
-    /// A page of a kind's objects, after a name.
+    /// A page of a kind's objects, starting after a name.
     pub fn list(&self, kind: &str, after: &str) -> ListPage {
         let objects = self.kinds.get(kind);
         let later = objects.into_iter().flat_map(|objects| objects.values());
         let later = later.filter(|object| object.meta.name.as_str() > after);
-        let mut items: Vec<StoredObject> = later.take(self.page + 1).cloned().collect();
-        let more = items.len() > self.page;
-        items.truncate(self.page);
+        let mut items: Vec<StoredObject> = later.take(self.page_objects + 1).cloned().collect();
+        let more = items.len() > self.page_objects;
+        items.truncate(self.page_objects);
         ListPage {
             items,
             more,
@@ -164,7 +164,7 @@
         object.cloned().ok_or(StoreError::NotFound)
     }
 
-    /// Changes of a kind after a revision; a later one than the last is not of this history.
+    /// Changes of a kind after a revision. A revision above the store's own belongs to another history.
     pub fn changes(&self, kind: &str, after: u64) -> Result<Vec<WatchEvent>, StoreError> {
         if !(self.history_start..=self.revision).contains(&after) {
             return Err(StoreError::HistoryGone);
@@ -174,20 +174,20 @@
         Ok(newer.map(|logged| logged.event.clone()).collect())
     }
 
-    /// Makes an object.
+    /// Creates an object.
     pub fn create(
         &mut self,
         kind: &str,
         name: &str,
         spec: Value,
     ) -> Result<StoredObject, StoreError> {
-        if let Ok(present) = self.get(kind, name) {
-            return Err(StoreError::Conflict(Box::new(present)));
+        if let Ok(current) = self.get(kind, name) {
+            return Err(StoreError::Conflict(Box::new(current)));
         }
         Ok(self.put(kind, name, spec))
     }
 
-    /// Replaces what an object's writer states, if the revision is still the object's.
+    /// Replaces the spec of an object, if the object still has the expected revision.
     pub fn replace(
         &mut self,
         kind: &str,
@@ -195,11 +195,11 @@
         spec: Value,
         expected: Option<u64>,
     ) -> Result<StoredObject, StoreError> {
-        let present = self.get_expected(kind, name, expected)?;
-        Ok(self.store(kind, present.clone(), StoredObject { spec, ..present }))
+        let current = self.get_expected(kind, name, expected)?;
+        Ok(self.store(kind, current.clone(), StoredObject { spec, ..current }))
     }
 
-    /// Replaces what is observed of an object, if the revision is still the object's.
+    /// Replaces the status of an object, if the object still has the expected revision.
     pub fn replace_status(
         &mut self,
         kind: &str,
@@ -207,14 +207,14 @@
         status: Value,
         expected: Option<u64>,
     ) -> Result<StoredObject, StoreError> {
-        let present = self.get_expected(kind, name, expected)?;
-        Ok(self.store(kind, present.clone(), StoredObject { status, ..present }))
+        let current = self.get_expected(kind, name, expected)?;
+        Ok(self.store(kind, current.clone(), StoredObject { status, ..current }))
     }
 
-    /// Makes an object, or replaces what its writer states.
+    /// Creates an object, or replaces its spec.
     pub fn put(&mut self, kind: &str, name: &str, spec: Value) -> StoredObject {
-        if let Ok(present) = self.get(kind, name) {
-            return self.store(kind, present.clone(), StoredObject { spec, ..present });
+        if let Ok(current) = self.get(kind, name) {
+            return self.store(kind, current.clone(), StoredObject { spec, ..current });
         }
         let made = self.revision + 1;
         let meta = ObjectMeta {
@@ -226,7 +226,7 @@
         self.insert(kind, StoredObject { meta, spec, status })
     }
 
-    /// Removes an object, if the revision is still the object's.
+    /// Removes an object, if it still has the expected revision.
     pub fn delete(
         &mut self,
         kind: &str,
@@ -248,17 +248,17 @@
         name: &str,
         expected: Option<u64>,
     ) -> Result<StoredObject, StoreError> {
-        let present = self.get(kind, name)?;
-        if expected.is_some_and(|expected| expected != present.meta.revision) {
-            return Err(StoreError::Conflict(Box::new(present)));
+        let current = self.get(kind, name)?;
+        if expected.is_some_and(|expected| expected != current.meta.revision) {
+            return Err(StoreError::Conflict(Box::new(current)));
         }
-        Ok(present)
+        Ok(current)
     }
 
-    /// A write that changes nothing raises no revision and is no event.
-    fn store(&mut self, kind: &str, present: StoredObject, wanted: StoredObject) -> StoredObject {
-        if present == wanted {
-            return present;
+    /// Stores an object. A write that changes nothing has no new revision and no event.
+    fn store(&mut self, kind: &str, current: StoredObject, wanted: StoredObject) -> StoredObject {
+        if current == wanted {
+            return current;
         }
         self.insert(kind, wanted)
     }
@@ -272,8 +272,8 @@
         object
     }
 
-    /// Forgets the history: watches from earlier revisions find it gone.
-    pub fn forget_history(&mut self) {
+    /// Discards the history: watches from earlier revisions fail with [`StoreError::HistoryGone`].
+    pub fn discard_history(&mut self) {
         self.history.clear();
         self.history_start = self.revision;
     }
--- a/crates/tansylead-emulator/src/store/server.rs
+++ b/crates/tansylead-emulator/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The store over HTTP, with its troubles.
+//! Serves the store over HTTP and injects its faults.
 
 use super::calls::{Call, empty, handle};
 use super::objects::{ObjectStore, StoreCopy, StoredObject};
@@ -19,10 +19,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What is wrong with the store.
+/// Fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum StoreTrouble {
-    /// Nothing.
+pub enum StoreFault {
+    /// No fault.
     #[default]
     None,
     /// It does not answer.
@@ -33,11 +33,12 @@
     Throttled,
     /// It closes connections.
     Reset,
-    /// It answers after this time.
+    /// It delays calls by this time.
     Slow(Duration),
-    /// It does what it is asked and, with this probability, closes without an answer.
+    /// It executes calls, but with this probability closes the connection without an answer.
     LosesAnswers(f64),
-    /// It closes without an answer to a write, and does it after this time if its condition still holds.
+    /// It closes the connection without answering a write, and executes the write after this time if its condition
+    /// still holds.
     WritesLate(Duration),
 }
 
@@ -56,12 +57,12 @@
 
 impl std::error::Error for ConnectionClosed {}
 
-/// What all connections share.
+/// State shared by all connections.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) objects: Mutex<ObjectStore>,
-    trouble: Mutex<StoreTrouble>,
-    /// Calls by path, without what follows a question mark.
+    fault: Mutex<StoreFault>,
+    /// Number of calls by path, without the query string.
     calls: Mutex<HashMap<String, usize>>,
     pub(super) changed: watch::Sender<u64>,
 }
@@ -75,12 +76,12 @@
 
 impl StoreServer {
     /// Starts an empty store at an address; port 0 lets the system choose one.
-    pub async fn start(address: SocketAddr, page: usize) -> std::io::Result<Self> {
+    pub async fn start(address: SocketAddr, page_objects: usize) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            objects: Mutex::new(ObjectStore::new(page)),
-            trouble: Mutex::default(),
+            objects: Mutex::new(ObjectStore::new(page_objects)),
+            fault: Mutex::default(),
             calls: Mutex::default(),
             changed: watch::Sender::new(0),
         });
@@ -93,17 +94,17 @@
         Ok(Self { shared, address })
     }
 
-    /// Where it listens.
+    /// Address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what is wrong.
-    pub fn set_trouble(&self, trouble: StoreTrouble) {
-        *self.shared.trouble.lock() = trouble;
+    /// Sets the fault.
+    pub fn set_fault(&self, fault: StoreFault) {
+        *self.shared.fault.lock() = fault;
     }
 
-    /// Makes or replaces an object, as the operator and the leafs do.
+    /// Creates or replaces an object, as the operator and the leafs do.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.shared.objects.lock().put(kind, name, spec);
         self.notify();
@@ -111,15 +112,15 @@
 
     /// Removes an object.
     pub fn delete(&self, kind: &str, name: &str) {
-        // An object that is gone already stays gone.
+        // Fails if the object does not exist.
         let _ = self.shared.objects.lock().delete(kind, name, None);
         self.notify();
     }
 
-    /// Removes an object if it is still as in `object`.
+    /// Removes an object if it still has the revision of `object`.
     pub fn delete_unchanged(&self, kind: &str, object: &StoredObject) {
         let meta = &object.meta;
-        // One that has changed, or is gone, stays so.
+        // Fails if the object has changed or does not exist.
         let _ = self
             .shared
             .objects
@@ -128,12 +129,12 @@
         self.notify();
     }
 
-    /// An object as it stands now.
+    /// The current version of an object.
     pub fn get(&self, kind: &str, name: &str) -> Option<StoredObject> {
         self.shared.objects.lock().get(kind, name).ok()
     }
 
-    /// Replaces what is observed of an object. Returns whether the object was there.
+    /// Replaces the status of an object. Returns whether the object exists.
     pub fn set_status(&self, kind: &str, name: &str, status: Value) -> bool {
         let mut objects = self.shared.objects.lock();
         let replaced = objects.replace_status(kind, name, status, None);
@@ -142,18 +143,18 @@
         replaced.is_ok()
     }
 
-    /// A copy to come back from later.
+    /// Copies the objects, to restore them later.
     pub fn copy(&self) -> StoreCopy {
         self.shared.objects.lock().copy()
     }
 
-    /// Comes back from a copy.
+    /// Restores a copy.
     pub fn restore(&self, copy: StoreCopy) {
         self.shared.objects.lock().restore(copy);
         self.notify();
     }
 
-    /// Counts how often the store came back from a copy.
+    /// Era of the store; incremented by each restore from a copy.
     pub fn era(&self) -> u64 {
         self.shared.objects.lock().era()
     }
@@ -163,15 +164,15 @@
         self.shared.objects.lock().names(kind)
     }
 
-    /// Calls that came for a kind's objects as a whole.
+    /// Number of list and watch calls, and of creations, for a kind.
     pub fn calls(&self, kind: &str) -> usize {
         let calls = self.shared.calls.lock();
         calls.get(&format!("/objects/{kind}")).copied().unwrap_or(0)
     }
 
-    /// Forgets the history.
-    pub fn forget_history(&self) {
-        self.shared.objects.lock().forget_history();
+    /// Discards the history.
+    pub fn discard_history(&self) {
+        self.shared.objects.lock().discard_history();
     }
 
     fn notify(&self) {
@@ -184,41 +185,41 @@
         let shared = Arc::clone(&shared);
         async move { answer(&shared, request).await }
     });
-    // A caller's connection may end in any way.
+    // Connections may end with any error.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-/// Answers a call. Each answer tells the era that it is from.
+/// Answers a call. Each answer states the store's era.
 async fn answer(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     *shared.calls.lock().entry(path).or_default() += 1;
-    let mut response = answer_in_trouble(shared, request).await?;
+    let mut response = answer_under_fault(shared, request).await?;
     let era = shared.objects.lock().era();
     response.headers_mut().insert("store-era", era.into());
     Ok(response)
 }
 
-async fn answer_in_trouble(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
-    let trouble = *shared.trouble.lock();
-    match trouble {
-        StoreTrouble::None | StoreTrouble::LosesAnswers(_) => {}
-        StoreTrouble::WritesLate(time) if request.method() != Method::GET => {
-            return write_late(shared, request, time).await;
+async fn answer_under_fault(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
+    let fault = *shared.fault.lock();
+    match fault {
+        StoreFault::None | StoreFault::LosesAnswers(_) => {}
+        StoreFault::WritesLate(time) if request.method() != Method::GET => {
+            return execute_write_later(shared, request, time).await;
         }
-        StoreTrouble::WritesLate(_) => {}
-        StoreTrouble::Silent => std::future::pending().await,
-        StoreTrouble::Busy => return Ok(empty(StatusCode::SERVICE_UNAVAILABLE)),
-        StoreTrouble::Throttled => return Ok(empty(StatusCode::TOO_MANY_REQUESTS)),
-        StoreTrouble::Reset => return Err(ConnectionClosed),
-        StoreTrouble::Slow(time) => tokio::time::sleep(time).await,
+        StoreFault::WritesLate(_) => {}
+        StoreFault::Silent => std::future::pending().await,
+        StoreFault::Busy => return Ok(empty(StatusCode::SERVICE_UNAVAILABLE)),
+        StoreFault::Throttled => return Ok(empty(StatusCode::TOO_MANY_REQUESTS)),
+        StoreFault::Reset => return Err(ConnectionClosed),
+        StoreFault::Slow(time) => tokio::time::sleep(time).await,
     }
     let Ok(call) = Call::receive(request).await else {
         return Ok(empty(StatusCode::BAD_REQUEST));
     };
     let response = handle(shared, call).await;
-    if let StoreTrouble::LosesAnswers(probability) = trouble
+    if let StoreFault::LosesAnswers(probability) = fault
         && rand::rng().random_bool(probability)
     {
         return Err(ConnectionClosed);
@@ -226,14 +227,18 @@
     Ok(response)
 }
 
-/// Takes a write and closes without an answer; the write is done later.
-async fn write_late(shared: &Arc<Shared>, request: Request<Incoming>, time: Duration) -> Answer {
-    // A call that did not come whole is never done.
+/// Closes the connection without an answer and executes the write later.
+async fn execute_write_later(
+    shared: &Arc<Shared>,
+    request: Request<Incoming>,
+    time: Duration,
+) -> Answer {
+    // An incomplete call is never executed.
     if let Ok(call) = Call::receive(request).await {
         let shared = Arc::clone(shared);
         tokio::spawn(async move {
             tokio::time::sleep(time).await;
-            // Whoever asked is no longer there to be told.
+            // The caller's connection is closed already.
             let _ = handle(&shared, call).await;
         });
     }
