--- a/crates/tansylead-emulator/src/version.rs
+++ b/crates/tansylead-emulator/src/version.rs
@@ -1,4 +1,4 @@
-//! Software versions of leafs, and what is wrong with them.
+//! Software versions of leafs and their defects.
 
 use rand::RngExt;
 use std::time::{Duration, Instant};
@@ -6,21 +6,21 @@
 /// Version of the leafs that a deployment starts with.
 pub const FIRST_VERSION: &str = "v1";
 
-/// What is wrong with all leafs of a version.
+/// Defect of all leafs of a version.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub enum VersionTrouble {
-    /// Nothing.
+pub enum VersionDefect {
+    /// No defect.
     #[default]
     None,
     /// They answer 500, with this probability.
     Fails(f64),
-    /// The same, but only after this time.
+    /// They answer 500 with this probability, once this time has passed.
     FailsLater(Duration, f64),
-    /// The same, but only a leaf that has got more than this many requests within a second.
+    /// A leaf that has got more than this many requests within a second answers 500, with this probability.
     FailsUnderLoad(usize, f64),
-    /// The same, but only for requests whose path begins so.
+    /// They answer 500 to requests whose path has this prefix, with this probability.
     FailsOnPath(String, f64),
-    /// They work this many times as long.
+    /// Their processing time is multiplied by this factor.
     Slow(f64),
 }
 
@@ -29,67 +29,67 @@
 pub struct LeafVersion {
     /// Name.
     pub name: String,
-    /// What is wrong with it.
-    pub trouble: VersionTrouble,
+    /// Defect.
+    pub defect: VersionDefect,
     /// When its first leafs started.
-    pub since: Instant,
+    pub started: Instant,
 }
 
-/// What a version does to one request.
+/// Effect of a version on one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct VersionEffect {
-    /// The answer is a failure.
+    /// Whether the answer is a failure.
     pub fails: bool,
-    /// The work takes this many times as long.
-    pub slow_by: f64,
+    /// Factor on the processing time.
+    pub latency_factor: f64,
 }
 
 impl VersionEffect {
     /// Whether the answer is worse than that of a good version.
     pub fn is_bad(self) -> bool {
-        self.fails || self.slow_by > 1.0
+        self.fails || self.latency_factor > 1.0
     }
 }
 
 impl LeafVersion {
     /// A version that starts now.
-    pub fn new(name: &str, trouble: VersionTrouble) -> Self {
+    pub fn new(name: &str, defect: VersionDefect) -> Self {
         Self {
             name: name.to_owned(),
-            trouble,
-            since: Instant::now(),
+            defect,
+            started: Instant::now(),
         }
     }
 
     /// The version that a deployment starts with.
     pub fn first() -> Self {
-        Self::new(FIRST_VERSION, VersionTrouble::None)
+        Self::new(FIRST_VERSION, VersionDefect::None)
     }
 
-    /// Whether anything is wrong with it.
+    /// Whether it has a defect.
     pub fn is_bad(&self) -> bool {
-        self.trouble != VersionTrouble::None
+        self.defect != VersionDefect::None
     }
 
-    /// What it does to a request of this path, at a leaf that has got `recent` requests within a second.
-    pub fn effect(&self, path: &str, recent: usize) -> VersionEffect {
-        let share = match &self.trouble {
-            VersionTrouble::None | VersionTrouble::Slow(_) => 0.0,
-            VersionTrouble::Fails(share) => *share,
-            VersionTrouble::FailsLater(after, share) if self.since.elapsed() > *after => *share,
-            VersionTrouble::FailsUnderLoad(limit, share) if recent > *limit => *share,
-            VersionTrouble::FailsOnPath(prefix, share) if path.starts_with(prefix) => *share,
-            VersionTrouble::FailsLater(..)
-            | VersionTrouble::FailsUnderLoad(..)
-            | VersionTrouble::FailsOnPath(..) => 0.0,
+    /// Its effect on a request of this path at a leaf that has got `recent_requests` requests within a second.
+    pub fn effect(&self, path: &str, recent_requests: usize) -> VersionEffect {
+        let share = match &self.defect {
+            VersionDefect::None | VersionDefect::Slow(_) => 0.0,
+            VersionDefect::Fails(share) => *share,
+            VersionDefect::FailsLater(after, share) if self.started.elapsed() > *after => *share,
+            VersionDefect::FailsUnderLoad(limit, share) if recent_requests > *limit => *share,
+            VersionDefect::FailsOnPath(prefix, share) if path.starts_with(prefix) => *share,
+            VersionDefect::FailsLater(..)
+            | VersionDefect::FailsUnderLoad(..)
+            | VersionDefect::FailsOnPath(..) => 0.0,
         };
-        let slow_by = match self.trouble {
-            VersionTrouble::Slow(factor) => factor,
+        let latency_factor = match self.defect {
+            VersionDefect::Slow(factor) => factor,
             _ => 1.0,
         };
         VersionEffect {
             fails: rand::rng().random_bool(share.clamp(0.0, 1.0)),
-            slow_by,
+            latency_factor,
         }
     }
 }
--- a/crates/tansylead-emulator/src/zone_fault.rs
+++ b/crates/tansylead-emulator/src/zone_fault.rs
@@ -1,11 +1,11 @@
-//! Faults of whole zones.
+//! Faults of entire zones.
 
 use crate::deployment::Deployment;
-use crate::proxy::LinkTrouble;
+use crate::proxy::LinkFault;
 use std::io;
 
 impl Deployment {
-    /// Takes the power from a zone: its leafs and daemons end without a word.
+    /// Power loss of a zone: stops its leafs and daemons unannounced.
     pub fn lose_zone(&mut self, zone: &str) {
         for proxied in self.leafs.iter_mut().filter(|leaf| leaf.plan.zone == zone) {
             proxied.leaf = None;
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Gives power back to a zone: its daemons start again, and its leafs as new runs.
+    /// Restores the power of a zone: restarts its daemons, and its leafs as new runs.
     pub async fn restore_zone(&mut self, zone: &str) -> io::Result<()> {
         for index in 0..self.leafs.len() {
             if self.leafs[index].plan.zone == zone {
@@ -33,13 +33,13 @@
         Ok(())
     }
 
-    /// Cuts the links between a zone's leafs and all daemons, and between its daemons and the store,
-    /// or heals them. Callers still reach its daemons, and daemons reach each other.
+    /// Cuts or restores the links between a zone's leafs and all daemons, and between its daemons and
+    /// the store. Callers still reach its daemons, and daemons reach each other.
     pub fn cut_zone(&self, zone: &str, is_cut: bool) {
-        let trouble = if is_cut {
-            LinkTrouble::Silent
+        let fault = if is_cut {
+            LinkFault::Silent
         } else {
-            LinkTrouble::None
+            LinkFault::None
         };
         let leafs = self.leafs.iter().filter(|leaf| leaf.plan.zone == zone);
         let daemons = self.daemons.iter();
@@ -47,7 +47,7 @@
         let leaf_links = leafs.map(|leaf| &leaf.proxy);
         let store_links = daemons.map(|daemon| &daemon.store_link);
         for link in leaf_links.chain(store_links) {
-            link.set_trouble(trouble);
+            link.set_fault(fault);
             if !is_cut {
                 link.reset();
             }
--- a/crates/tansylead-emulator/tests/roll_out_platform.rs
+++ b/crates/tansylead-emulator/tests/roll_out_platform.rs
@@ -1,4 +1,4 @@
-//! What the platform does with leafs as the state of a roll-out changes in the store.
+//! The platform starts and stops leafs as the state of a roll-out changes in the store.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,7 +12,7 @@
 use tansylead_emulator::soak::{BUDGET, DRAIN_LIMIT};
 
 const SERVICE: &str = "files";
-/// Time in which the platform follows a change, on a busy machine.
+/// Time limit for the platform to follow a change, on a busy machine.
 const LIMIT: Duration = Duration::from_secs(20);
 
 /// A deployment without daemons, whose service is being rolled out.
@@ -33,7 +33,7 @@
     deployment
 }
 
-/// Writes a state, as a daemon does.
+/// Writes the state of the roll-out, as a daemon does.
 async fn write(deployment: &Deployment, state: &str) {
     let body = json!({"status": {"state": state, "target_version": "v2"}});
     let request = Request::builder()
@@ -47,8 +47,8 @@
     assert_eq!(answer.expect("an answer").status, 200);
 }
 
-/// State in the entry of the service's leaf of a version; none if it has no entry.
-fn entry(deployment: &Deployment, version: &str) -> Option<String> {
+/// State in the entry of the service's leaf of a version; none if there is no entry.
+fn leaf_state(deployment: &Deployment, version: &str) -> Option<String> {
     let leafs = deployment.leafs.iter();
     let mut own = leafs.filter(|leaf| leaf.plan.service == SERVICE);
     let leaf = own.find(|leaf| leaf.plan.version.name == version)?;
@@ -75,26 +75,26 @@
     let ended = until(|| deployment.roll_out_end(SERVICE) == Some(RollOutEnd::Completed));
     assert!(ended.await);
     assert!(deployment.runs_version(SERVICE, "v2"));
-    assert_eq!(entry(&deployment, "v1").as_deref(), Some("ready"));
-    assert!(until(|| entry(&deployment, "v1").is_none()).await);
-    assert_eq!(entry(&deployment, "v2").as_deref(), Some("ready"));
-    // A leaf that comes now is of the new version; an old one does not come again.
+    assert_eq!(leaf_state(&deployment, "v1").as_deref(), Some("ready"));
+    assert!(until(|| leaf_state(&deployment, "v1").is_none()).await);
+    assert_eq!(leaf_state(&deployment, "v2").as_deref(), Some("ready"));
+    // An old leaf is not restarted.
     let old = deployment
         .leafs
         .iter()
         .position(|leaf| leaf.control.is_retired());
     let old = old.expect("the old leaf");
     deployment.restart_leaf(old).await.expect("no start");
-    assert_eq!(entry(&deployment, "v1"), None);
+    assert_eq!(leaf_state(&deployment, "v1"), None);
 }
 
 #[tokio::test]
 async fn new_leafs_drain_and_go_after_they_were_rolled_back() {
     let deployment = start().await;
     write(&deployment, "rolled_back").await;
-    assert!(until(|| entry(&deployment, "v2").as_deref() == Some("draining")).await);
-    assert!(until(|| entry(&deployment, "v2").is_none()).await);
-    assert_eq!(entry(&deployment, "v1").as_deref(), Some("ready"));
+    assert!(until(|| leaf_state(&deployment, "v2").as_deref() == Some("draining")).await);
+    assert!(until(|| leaf_state(&deployment, "v2").is_none()).await);
+    assert_eq!(leaf_state(&deployment, "v1").as_deref(), Some("ready"));
     assert!(deployment.runs_version(SERVICE, "v1"));
 }
 
@@ -105,17 +105,17 @@
     let ended = until(|| deployment.roll_out_end(SERVICE).is_some());
     assert!(ended.await);
     write(&deployment, "rolled_back").await;
-    let broken = || deployment.oracle.violations(DRAIN_LIMIT, BUDGET);
-    let is_seen = || broken().iter().any(|text| text.starts_with("TURNED"));
+    let violations = || deployment.oracle.violations(DRAIN_LIMIT, BUDGET);
+    let is_seen = || violations().iter().any(|text| text.starts_with("TURNED"));
     assert!(until(is_seen).await);
 }
 
 #[tokio::test]
 async fn an_order_that_is_taken_back_ends_its_leafs() {
     let mut deployment = start().await;
-    deployment.take_back(SERVICE);
+    deployment.revoke_roll_out(SERVICE);
     assert!(deployment.store.get("rollouts", SERVICE).is_none());
-    assert!(until(|| entry(&deployment, "v2").is_none()).await);
+    assert!(until(|| leaf_state(&deployment, "v2").is_none()).await);
     assert_eq!(deployment.oracle.roll_outs()[0].end, None);
     assert!(deployment.oracle.roll_outs()[0].is_superseded);
 }
--- a/crates/tansylead-emulator/tests/roll_out_rules.rs
+++ b/crates/tansylead-emulator/tests/roll_out_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of roll-outs find what breaks them, and nothing else.
+//! The checks of roll-outs find each violation and report nothing else.
 
 use std::time::Duration;
 use tansylead_emulator::addresses::next_address;
@@ -7,9 +7,9 @@
 use tansylead_emulator::roll_out_rules::{EXPOSURE_SLACK, RollOutId};
 use tansylead_emulator::seen_roll_out::{RollOutEnd, RollOutOrder};
 use tansylead_emulator::soak::{BUDGET, DRAIN_LIMIT};
-use tansylead_emulator::version::{LeafVersion, VersionTrouble};
+use tansylead_emulator::version::{LeafVersion, VersionDefect};
 
-/// Sends that the bound allows where no other request reaches the service.
+/// Sends that the bound allows if no other request reaches the service.
 const ALLOWED: usize = EXPOSURE_SLACK as usize;
 
 fn leaf(version: &str) -> LeafPlan {
@@ -21,12 +21,12 @@
         advertised: next_address(),
         slots: 1,
         work: Duration::ZERO,
-        version: LeafVersion::new(version, VersionTrouble::None),
+        version: LeafVersion::new(version, VersionDefect::None),
     }
 }
 
 fn order(oracle: &Oracle, is_bad: bool) -> RollOutId {
-    oracle.order_roll_out(RollOutOrder {
+    oracle.record_order(RollOutOrder {
         service: "files".to_owned(),
         target: "v2".to_owned(),
         kind: "test".to_owned(),
@@ -35,16 +35,16 @@
     })
 }
 
-/// So many requests reach a leaf of a version.
+/// Records that this many requests reached a leaf of a version.
 fn arrive(oracle: &Oracle, version: &str, requests: usize) {
     let leaf = leaf(version);
     for number in 0..requests {
-        oracle.arrive(&format!("{version}-{number}"), &leaf);
+        oracle.record_arrival(&format!("{version}-{number}"), &leaf);
     }
 }
 
-/// The rules that were broken.
-fn broken(oracle: &Oracle) -> Vec<String> {
+/// Names of the violated rules.
+fn violated_rules(oracle: &Oracle) -> Vec<String> {
     let violations = oracle.violations(DRAIN_LIMIT, BUDGET);
     let rules = violations.iter().filter_map(|text| text.split(':').next());
     rules.map(str::to_owned).collect()
@@ -58,10 +58,14 @@
     // 1,000 requests to old leafs and the sends themselves.
     let allowed = 166;
     arrive(&oracle, "v2", allowed);
-    assert!(broken(&oracle).is_empty(), "{:?}", oracle.roll_outs());
-    // The same requests again are sends, and no further requests.
+    assert!(
+        violated_rules(&oracle).is_empty(),
+        "{:?}",
+        oracle.roll_outs()
+    );
+    // A repeated request counts as a send, but not as another request.
     arrive(&oracle, "v2", 1);
-    assert_eq!(broken(&oracle), ["EXPOSURE"]);
+    assert_eq!(violated_rules(&oracle), ["EXPOSURE"]);
     assert_eq!(oracle.roll_outs()[0].requests, 1_000 + allowed);
 }
 
@@ -70,9 +74,9 @@
     let oracle = Oracle::default();
     let id = order(&oracle, false);
     arrive(&oracle, "v2", 10 * ALLOWED);
-    oracle.end_roll_out(id, RollOutEnd::Completed);
-    assert!(broken(&oracle).is_empty());
-    assert!(oracle.roll_outs()[0].is_duty_done());
+    oracle.record_outcome(id, RollOutEnd::Completed);
+    assert!(violated_rules(&oracle).is_empty());
+    assert!(oracle.roll_outs()[0].is_as_required());
 }
 
 #[test]
@@ -81,17 +85,17 @@
         (true, RollOutEnd::Completed),
         (false, RollOutEnd::RolledBack),
     ] {
-        let calm = Oracle::default();
-        let id = order(&calm, is_bad);
-        calm.end_roll_out(id, end);
-        assert_eq!(broken(&calm), ["OUTCOME"]);
-        let faulty = Oracle::default();
-        let id = order(&faulty, is_bad);
-        faulty.begin_fault(false);
-        faulty.end_fault(false);
-        faulty.end_roll_out(id, end);
-        assert!(broken(&faulty).is_empty());
-        assert!(!faulty.roll_outs()[0].is_duty_done());
+        let undisturbed = Oracle::default();
+        let id = order(&undisturbed, is_bad);
+        undisturbed.record_outcome(id, end);
+        assert_eq!(violated_rules(&undisturbed), ["OUTCOME"]);
+        let disturbed = Oracle::default();
+        let id = order(&disturbed, is_bad);
+        disturbed.begin_fault(false);
+        disturbed.end_fault(false);
+        disturbed.record_outcome(id, end);
+        assert!(violated_rules(&disturbed).is_empty());
+        assert!(!disturbed.roll_outs()[0].is_as_required());
     }
 }
 
@@ -100,13 +104,13 @@
     let oracle = Oracle::default();
     let id = order(&oracle, true);
     oracle.begin_fault(true);
-    oracle.end_roll_out(id, RollOutEnd::RolledBack);
-    oracle.end_roll_out(id, RollOutEnd::RolledBack);
-    assert!(broken(&oracle).is_empty());
-    oracle.end_roll_out(id, RollOutEnd::Completed);
-    assert_eq!(broken(&oracle), ["TURNED"]);
-    oracle.turn_roll_out(id, "running");
-    assert_eq!(broken(&oracle), ["TURNED", "TURNED"]);
+    oracle.record_outcome(id, RollOutEnd::RolledBack);
+    oracle.record_outcome(id, RollOutEnd::RolledBack);
+    assert!(violated_rules(&oracle).is_empty());
+    oracle.record_outcome(id, RollOutEnd::Completed);
+    assert_eq!(violated_rules(&oracle), ["TURNED"]);
+    oracle.record_changed_outcome(id, "running");
+    assert_eq!(violated_rules(&oracle), ["TURNED", "TURNED"]);
 }
 
 #[test]
@@ -115,14 +119,14 @@
     let oracle = Oracle::default();
     let id = order(&oracle, false);
     let route = Routes::new(1, 0).lookup;
-    oracle.ask("left", &route);
-    oracle.leave_request("left");
-    oracle.cut(id, &["left".to_owned()]);
-    assert!(broken(&oracle).is_empty());
-    oracle.ask("waits", &route);
-    oracle.cut(id, &["left".to_owned(), "waits".to_owned()]);
-    assert_eq!(broken(&oracle), ["CUT"]);
-    assert_eq!(oracle.roll_outs()[0].cut, 1);
+    oracle.record_request("left", &route);
+    oracle.record_abandoned("left");
+    oracle.record_interrupted(id, &["left".to_owned()]);
+    assert!(violated_rules(&oracle).is_empty());
+    oracle.record_request("waits", &route);
+    oracle.record_interrupted(id, &["left".to_owned(), "waits".to_owned()]);
+    assert_eq!(violated_rules(&oracle), ["CUT"]);
+    assert_eq!(oracle.roll_outs()[0].interrupted, 1);
 }
 
 #[test]
@@ -131,7 +135,7 @@
     order(&oracle, true);
     order(&oracle, false);
     arrive(&oracle, "v2", 10 * ALLOWED);
-    assert!(broken(&oracle).is_empty());
+    assert!(violated_rules(&oracle).is_empty());
     let seen = oracle.roll_outs();
     assert!(seen[0].is_superseded && !seen[1].is_superseded);
     assert_eq!(seen[0].sends, 0);
@@ -141,22 +145,22 @@
 fn bad_answers_count_only_while_daemons_are_in_no_trouble() {
     let oracle = Oracle::default();
     order(&oracle, true);
-    let answer_badly = |answers| {
+    let record_bad_answers = |answers| {
         for _ in 0..answers {
-            oracle.answer_badly(&leaf("v2"));
+            oracle.record_bad_answer(&leaf("v2"));
         }
     };
-    answer_badly(49);
+    record_bad_answers(49);
     oracle.begin_fault(true);
-    answer_badly(49);
+    record_bad_answers(49);
     arrive(&oracle, "v2", 1);
-    assert_eq!(oracle.roll_outs()[0].back, None);
-    let calm = Oracle::default();
-    order(&calm, true);
+    assert_eq!(oracle.roll_outs()[0].roll_back_time, None);
+    let undisturbed = Oracle::default();
+    order(&undisturbed, true);
     for _ in 0..50 {
-        calm.answer_badly(&leaf("v2"));
+        undisturbed.record_bad_answer(&leaf("v2"));
     }
-    arrive(&calm, "v2", 1);
-    assert!(calm.roll_outs()[0].back.is_some());
-    assert!(broken(&calm).is_empty(), "within the limit");
+    arrive(&undisturbed, "v2", 1);
+    assert!(undisturbed.roll_outs()[0].roll_back_time.is_some());
+    assert!(violated_rules(&undisturbed).is_empty(), "within the limit");
 }
--- a/crates/tansylead-emulator/tests/silent_proxy.rs
+++ b/crates/tansylead-emulator/tests/silent_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy silences the connections that are open, both ways and for good, and no others.
+//! A proxy permanently silences its open connections in both directions, and no others.
 
 use std::time::Duration;
 use tansylead_emulator::addresses::next_address;
@@ -6,12 +6,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time in which an echo comes, on a busy machine.
+/// Time limit for an echo, on a busy machine.
 const LIMIT: Duration = Duration::from_secs(5);
-/// Time in which nothing must come.
+/// Time in which nothing must arrive.
 const SILENCE: Duration = Duration::from_millis(300);
 
-/// Sends back what comes, and closes at the letter `x`.
+/// Echoes each byte, and closes the connection at the letter `x`.
 async fn echo(listener: TcpListener) {
     while let Ok((mut stream, _)) = listener.accept().await {
         tokio::spawn(async move {
@@ -44,7 +44,7 @@
     let mut second = TcpStream::connect(proxy.address()).await.expect("connects");
     assert!(is_echoed(&mut second, LIMIT).await);
     assert!(!is_echoed(&mut first, SILENCE).await, "silent for good");
-    // Not even the end of a silent connection shows.
+    // Not even the end of a silent connection is forwarded.
     first.write_all(b"x").await.expect("sends");
     let mut byte = [0];
     let end = tokio::time::timeout(SILENCE, first.read(&mut byte)).await;
--- a/crates/tansylead-emulator/tests/store.rs
+++ b/crates/tansylead-emulator/tests/store.rs
@@ -31,20 +31,20 @@
 #[test]
 fn spec_and_status_are_replaced_one_without_the_other() {
     let mut store = store();
-    let made = revision(&store);
-    let written = store.replace_status(KIND, NAME, json!("seen"), Some(made));
+    let created = revision(&store);
+    let written = store.replace_status(KIND, NAME, json!("seen"), Some(created));
     let written = written.expect("the revision is the object's");
     assert_eq!(
         (written.spec, written.status),
         (json!({"a": 1}), json!("seen"))
     );
-    assert!(written.meta.revision > made);
+    assert!(written.meta.revision > created);
     let replaced = store.put(KIND, NAME, json!({"a": 2}));
     assert_eq!(replaced.status, json!("seen"));
-    assert_eq!(replaced.meta.made, made, "it stays the same object");
+    assert_eq!(replaced.meta.made, created, "it stays the same object");
     store.delete(KIND, NAME, None).expect("it is there");
     let again = store.put(KIND, NAME, json!({"a": 2}));
-    assert_ne!(again.meta.made, made);
+    assert_ne!(again.meta.made, created);
     assert_eq!(again.status, Value::Null);
 }
 
@@ -52,14 +52,14 @@
 fn writes_under_another_revision_change_nothing_and_show_the_object() {
     let mut store = store();
     let wrong = Some(revision(&store) + 1);
-    let present = store.get(KIND, NAME).expect("it is there");
-    let conflict = Err(StoreError::Conflict(Box::new(present.clone())));
+    let current = store.get(KIND, NAME).expect("it is there");
+    let conflict = Err(StoreError::Conflict(Box::new(current.clone())));
     assert_eq!(store.replace(KIND, NAME, json!(2), wrong), conflict);
     assert_eq!(store.replace_status(KIND, NAME, json!(2), wrong), conflict);
     assert_eq!(store.delete(KIND, NAME, wrong), conflict);
-    assert_eq!(store.get(KIND, NAME), Ok(present.clone()));
-    let right = Some(present.meta.revision);
-    assert_eq!(store.delete(KIND, NAME, right), Ok(present));
+    assert_eq!(store.get(KIND, NAME), Ok(current.clone()));
+    let right = Some(current.meta.revision);
+    assert_eq!(store.delete(KIND, NAME, right), Ok(current));
     let gone = store.replace_status(KIND, NAME, json!(2), right);
     assert_eq!(gone, Err(StoreError::NotFound));
 }
