--- a/crates/tansylead-emulator/src/configuration.rs
+++ b/crates/tansylead-emulator/src/configuration.rs
@@ -41,7 +41,7 @@
     pub safe: bool,
     /// Maximum time for a request, in milliseconds.
     pub timeout_millis: u64,
-    /// Latency objective, in milliseconds.
+    /// Latency objective, in milliseconds: later answers are worth less.
     pub objective_millis: u64,
     /// Maximum number of leafs that a request may be sent to.
     pub maximum_attempts: u32,
--- a/crates/tansylead-emulator/src/deployment.rs
+++ b/crates/tansylead-emulator/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback: store, leafs, real daemons, and proxies between them.
+//! A complete deployment on loopback: store, leafs, real daemons, and proxies between them.
 
 use crate::addresses::next_address;
 use crate::caller::{Caller, CallerRequest};
--- a/crates/tansylead-emulator/src/deployment_daemons.rs
+++ b/crates/tansylead-emulator/src/deployment_daemons.rs
@@ -30,7 +30,7 @@
             addresses
                 .iter()
                 .take(SEEDS)
-                .map(|addresses| addresses.peer)
+                .map(|daemon| daemon.peer)
                 .collect()
         };
         for (index, own_addresses) in addresses.into_iter().enumerate() {
--- a/crates/tansylead-emulator/src/fatal_rule.rs
+++ b/crates/tansylead-emulator/src/fatal_rule.rs
@@ -67,7 +67,7 @@
         self.crashes.values().map(Vec::len).sum()
     }
 
-    /// Whether a request has reached a leaf.
+    /// Whether a request that crashes leafs has reached any.
     pub(crate) fn has_arrived(&self, request: &str) -> bool {
         self.arrived.contains(request)
     }
--- a/crates/tansylead-emulator/src/lib.rs
+++ b/crates/tansylead-emulator/src/lib.rs
@@ -3,7 +3,7 @@
 //! It runs the real daemons as separate processes on loopback addresses and emulates everything
 //! around them: the store of configuration and leafs, the leafs, the callers, and faults injected
 //! from outside. An oracle checks what callers and leafs see. The terms of the platform's protocol
-//! are used on purpose: this is the other side of it.
+//! are used on purpose: this crate implements its other side.
 
 pub mod addresses;
 mod answer_rules;
--- a/crates/tansylead-emulator/src/oracle.rs
+++ b/crates/tansylead-emulator/src/oracle.rs
@@ -100,7 +100,7 @@
         self.seen.lock().fatal.crashed_leafs()
     }
 
-    /// Whether a request that crashes leafs has reached one.
+    /// Whether a request that crashes leafs has reached any.
     pub fn has_arrived(&self, request: &str) -> bool {
         self.seen.lock().fatal.has_arrived(request)
     }
@@ -285,11 +285,11 @@
 
     fn refused_but_run(&self) -> Vec<String> {
         let has_run = |request: &String| self.runs.values().any(|run| run.request == *request);
-        let broken = self
+        let violating = self
             .refused_unsafe
             .iter()
             .filter(|request| has_run(request));
-        broken
+        violating
             .map(|request| format!("REFUSED: {request} was refused and has run"))
             .collect()
     }
--- a/crates/tansylead-emulator/src/proxy.rs
+++ b/crates/tansylead-emulator/src/proxy.rs
@@ -164,7 +164,7 @@
     }
 }
 
-/// Waits until the address is closed or open, as `is_closed` says.
+/// Waits until the address has the state `is_closed`.
 async fn wait_for_closed(closing: &mut watch::Receiver<bool>, is_closed: bool) {
     // Fails only if the proxy was dropped; its task is aborted then.
     let _ = closing.wait_for(|now| *now == is_closed).await;
--- a/crates/tansylead-emulator/src/roll_out_rules.rs
+++ b/crates/tansylead-emulator/src/roll_out_rules.rs
@@ -70,7 +70,7 @@
         }
         if let Some(proven_at) = self.proven_at {
             let since_proof = now.duration_since(proven_at);
-            self.seen.roll_back_time = Some(since_proof);
+            self.seen.last_send_after_proof = Some(since_proof);
             if since_proof > ROLL_BACK_LIMIT + TIME_SLACK {
                 self.add_violation("EXPOSURE", "a request too long after its bad answers");
             }
@@ -127,7 +127,7 @@
                 is_disturbed: self.core_faults > 0,
                 requests: 0,
                 sends: 0,
-                roll_back_time: None,
+                last_send_after_proof: None,
                 interrupted: 0,
             },
             ordered_at: Instant::now(),
@@ -150,7 +150,7 @@
         match record.seen.end {
             None => record.seen.end = Some((end, record.ordered_at.elapsed())),
             Some((earlier, _)) if earlier != end => {
-                record.add_violation("TURNED", "it had ended otherwise before");
+                record.add_violation("TURNED", "its earlier outcome was another one");
             }
             Some(_) => {}
         }
--- a/crates/tansylead-emulator/src/roll_out_table.rs
+++ b/crates/tansylead-emulator/src/roll_out_table.rs
@@ -13,12 +13,12 @@
         None if seen.is_superseded => "replaced or revoked".to_owned(),
         None => "no end".to_owned(),
     };
-    let roll_back_time = seen.roll_back_time.map_or_else(
+    let last_send_after_proof = seen.last_send_after_proof.map_or_else(
         || "-".to_owned(),
         |time| format!("{:.1} s", time.as_secs_f64()),
     );
     format!(
-        "{} to {} in {:.1} s ({}): {end}, {} sends of {:.0} allowed, rolled back in {roll_back_time}, {} interrupted{}",
+        "{} to {} in {:.1} s ({}): {end}, {} sends of {:.0} allowed, last send after proof {last_send_after_proof}, {} interrupted{}",
         order.service,
         order.target,
         order.duration.as_secs_f64(),
@@ -40,7 +40,7 @@
     no_end: usize,
     interrupted: usize,
     maximum_use: f64,
-    roll_back_times: Vec<Duration>,
+    last_sends_after_proof: Vec<Duration>,
     end_times: Vec<Duration>,
 }
 
@@ -58,7 +58,8 @@
             let used = f64::from(seen.sends) / seen.allowed();
             self.maximum_use = self.maximum_use.max(used);
         }
-        self.roll_back_times.extend(seen.roll_back_time);
+        self.last_sends_after_proof
+            .extend(seen.last_send_after_proof);
         self.end_times.extend(seen.end.map(|(_, after)| after));
     }
 
@@ -79,14 +80,15 @@
             self.no_end,
             self.interrupted,
             self.maximum_use,
-            seconds(&self.roll_back_times),
+            seconds(&self.last_sends_after_proof),
             seconds(&self.end_times),
         )
     }
 }
 
 /// Table of all roll-outs by kind: how many ended as required in time, late, wrongly or not at all; interrupted
-/// requests; the largest use of the bound on sends; the longest times to roll back and to end, in seconds.
+/// requests; the largest use of the bound on sends; the longest times from proof to the last send and from order to
+/// end, in seconds.
 pub fn table(reports: &[RunsReport]) -> String {
     let mut rows: BTreeMap<(bool, String), Row> = BTreeMap::new();
     for seen in reports.iter().flat_map(|report| &report.roll_outs) {
--- a/crates/tansylead-emulator/src/seen_roll_out.rs
+++ b/crates/tansylead-emulator/src/seen_roll_out.rs
@@ -43,7 +43,7 @@
     /// Sends to the target version until the deadline.
     pub sends: u32,
     /// Time from the bad answer that proved the version bad to the last send.
-    pub roll_back_time: Option<Duration>,
+    pub last_send_after_proof: Option<Duration>,
     /// Requests that were interrupted when the old leafs were stopped.
     pub interrupted: usize,
 }
--- a/crates/tansylead-emulator/src/soak/inject.rs
+++ b/crates/tansylead-emulator/src/soak/inject.rs
@@ -117,9 +117,7 @@
             tokio::time::sleep(time).await;
             deployment.cut_zone(&zone, false);
         }
-        Fault::NextWriter(daemon_fault, time) => {
-            apply_to_next_writer(deployment, daemon_fault, time).await?
-        }
+        Fault::NextWriter(fault, time) => apply_to_next_writer(deployment, fault, time).await?,
         Fault::ConnectionsSilent => {
             deployment.silence_store_links();
             deployment.silence_leaf_links();
--- a/crates/tansylead-emulator/tests/roll_out_platform.rs
+++ b/crates/tansylead-emulator/tests/roll_out_platform.rs
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn old_leafs_stop_at_completion_and_their_entries_lapse_later() {
+async fn old_leafs_stop_at_completion_and_their_entries_expire_later() {
     let mut deployment = start().await;
     write(&deployment, "running").await;
     write(&deployment, "completed").await;
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn new_leafs_drain_and_go_after_they_were_rolled_back() {
+async fn new_leafs_drain_and_stop_after_they_were_rolled_back() {
     let deployment = start().await;
     write(&deployment, "rolled_back").await;
     assert!(until(|| leaf_state(&deployment, "v2").as_deref() == Some("draining")).await);
@@ -99,19 +99,19 @@
 }
 
 #[tokio::test]
-async fn an_end_that_changes_is_seen() {
+async fn an_outcome_that_changes_is_found() {
     let deployment = start().await;
     write(&deployment, "completed").await;
     let ended = until(|| deployment.roll_out_end(SERVICE).is_some());
     assert!(ended.await);
     write(&deployment, "rolled_back").await;
     let violations = || deployment.oracle.violations(DRAIN_LIMIT, BUDGET);
-    let is_seen = || violations().iter().any(|text| text.starts_with("TURNED"));
-    assert!(until(is_seen).await);
+    let is_found = || violations().iter().any(|text| text.starts_with("TURNED"));
+    assert!(until(is_found).await);
 }
 
 #[tokio::test]
-async fn an_order_that_is_taken_back_ends_its_leafs() {
+async fn an_order_that_is_revoked_stops_its_leafs() {
     let mut deployment = start().await;
     deployment.revoke_roll_out(SERVICE);
     assert!(deployment.store.get("rollouts", SERVICE).is_none());
--- a/crates/tansylead-emulator/tests/roll_out_rules.rs
+++ b/crates/tansylead-emulator/tests/roll_out_rules.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn wrong_ends_break_a_rule_unless_there_were_faults() {
+fn wrong_outcomes_are_violations_unless_there_were_faults() {
     for (is_bad, end) in [
         (true, RollOutEnd::Completed),
         (false, RollOutEnd::RolledBack),
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_end_that_turns_round_breaks_a_rule_under_faults_too() {
+fn an_outcome_that_changes_is_a_violation_under_faults_too() {
     let oracle = Oracle::default();
     let id = order(&oracle, true);
     oracle.begin_fault(true);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn only_requests_whose_callers_wait_are_cut() {
+fn only_requests_whose_callers_wait_count_as_interrupted() {
     use tansylead_emulator::routes::Routes;
     let oracle = Oracle::default();
     let id = order(&oracle, false);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn bad_answers_count_only_while_daemons_are_in_no_trouble() {
+fn bad_answers_count_only_while_no_fault_affects_daemons() {
     let oracle = Oracle::default();
     order(&oracle, true);
     let record_bad_answers = |answers| {
@@ -154,13 +154,13 @@
     oracle.begin_fault(true);
     record_bad_answers(49);
     arrive(&oracle, "v2", 1);
-    assert_eq!(oracle.roll_outs()[0].roll_back_time, None);
+    assert_eq!(oracle.roll_outs()[0].last_send_after_proof, None);
     let undisturbed = Oracle::default();
     order(&undisturbed, true);
     for _ in 0..50 {
         undisturbed.record_bad_answer(&leaf("v2"));
     }
     arrive(&undisturbed, "v2", 1);
-    assert!(undisturbed.roll_outs()[0].roll_back_time.is_some());
+    assert!(undisturbed.roll_outs()[0].last_send_after_proof.is_some());
     assert!(violated_rules(&undisturbed).is_empty(), "within the limit");
 }
--- a/crates/tansylead-emulator/tests/store.rs
+++ b/crates/tansylead-emulator/tests/store.rs
@@ -43,9 +43,9 @@
     assert_eq!(replaced.status, json!("seen"));
     assert_eq!(replaced.meta.made, created, "it stays the same object");
     store.delete(KIND, NAME, None).expect("it is there");
-    let again = store.put(KIND, NAME, json!({"a": 2}));
-    assert_ne!(again.meta.made, created);
-    assert_eq!(again.status, Value::Null);
+    let recreated = store.put(KIND, NAME, json!({"a": 2}));
+    assert_ne!(recreated.meta.made, created);
+    assert_eq!(recreated.status, Value::Null);
 }
 
 #[test]
