--- a/crates/tansylead-emulator/src/soak/draw.rs
+++ b/crates/tansylead-emulator/src/soak/draw.rs
@@ -29,7 +29,7 @@
 /// A fault, drawn at random.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Fault {
-    LeafFault(LeafFault, Duration),
+    Leaf(LeafFault, Duration),
     LeafCrash(Duration),
     LeafLeaves,
     LeafLink(LinkFault, Duration),
@@ -72,7 +72,7 @@
             | Fault::ZoneCut(_)
             | Fault::NextWriter(..)
             | Fault::ConnectionsSilent => true,
-            Fault::LeafFault(..)
+            Fault::Leaf(..)
             | Fault::LeafCrash(_)
             | Fault::LeafLeaves
             | Fault::LeafLink(..)
@@ -90,7 +90,7 @@
 pub(crate) fn draw(random: &mut StdRng) -> Fault {
     let duration = Duration::from_millis(random.random_range(300..3_000));
     match random.random_range(0..22) {
-        0 | 1 => Fault::LeafFault(draw_leaf_fault(random), duration),
+        0 | 1 => Fault::Leaf(draw_leaf_fault(random), duration),
         2 => Fault::LeafCrash(duration),
         3 => Fault::LeafLeaves,
         4 => Fault::LeafLink(draw_link_fault(random), duration),
--- a/crates/tansylead-emulator/src/soak/inject.rs
+++ b/crates/tansylead-emulator/src/soak/inject.rs
@@ -41,7 +41,7 @@
     let leaf = random.random::<u32>() as usize % deployment.leafs.len();
     let daemon = random.random::<u32>() as usize % deployment.daemons.len();
     match fault {
-        Fault::LeafFault(leaf_fault, time) => {
+        Fault::Leaf(leaf_fault, time) => {
             set_leaf_fault(deployment, leaf, leaf_fault);
             tokio::time::sleep(time).await;
             set_leaf_fault(deployment, leaf, LeafFault::None);
