--- a/crates/tansylead-emulator/src/roll_out_rules.rs
+++ b/crates/tansylead-emulator/src/roll_out_rules.rs
@@ -150,7 +150,7 @@
         match record.seen.end {
             None => record.seen.end = Some((end, record.ordered_at.elapsed())),
             Some((earlier, _)) if earlier != end => {
-                record.add_violation("TURNED", "its earlier outcome was another one");
+                record.add_violation("TURNED", "it had ended otherwise before");
             }
             Some(_) => {}
         }
