--- a/crates/tansylead-gateway/src/execution/attempts.rs
+++ b/crates/tansylead-gateway/src/execution/attempts.rs
@@ -5,7 +5,7 @@
 //! each and save the leaf nothing.
 
 use crate::clock::Clock;
-use crate::leaf::{AttemptEnd, HandOver, LeafState, LostRequest};
+use crate::leaf::{AttemptEnd, LeafState, LostRequest, SendRecord};
 use crate::quarantine::AttemptInFlight;
 use std::cell::Cell;
 use std::future::Future;
@@ -23,7 +23,7 @@
 pub(super) struct Attempt {
     pub(super) leaf: Rc<LeafState>,
     pub(super) started: Moment,
-    pub(super) sent: Rc<Cell<Option<HandOver>>>,
+    pub(super) sent: Rc<Cell<Option<SendRecord>>>,
     /// When an answer is overdue; none once that has been handled.
     pub(super) overdue: Option<Moment>,
     /// The delay behind `overdue`.
@@ -40,7 +40,7 @@
         leaf: Rc<LeafState>,
         started: Moment,
         overdue_delay: Duration,
-        sent: Rc<Cell<Option<HandOver>>>,
+        sent: Rc<Cell<Option<SendRecord>>>,
         run: impl Future<Output = AttemptEnd> + 'static,
         in_flight: AttemptInFlight,
         fingerprints: RequestFingerprints,
@@ -83,7 +83,7 @@
                 fingerprints: self.fingerprints,
                 sent: sent.at,
                 lost: Clock.now(),
-                care: self.in_flight.limiter(),
+                limiter: self.in_flight.limiter(),
             };
             self.leaf.lost_requests().abandon(request);
         }
--- a/crates/tansylead-gateway/src/execution/call.rs
+++ b/crates/tansylead-gateway/src/execution/call.rs
@@ -92,7 +92,7 @@
                         return CallEnd::Answered(reply);
                     }
                 }
-                () = self.shared.care.changed(), if progress.waiting.is_some() => {}
+                () = self.shared.limiter.changed(), if progress.waiting.is_some() => {}
                 () = self.gateway.quarantine.changed(), if progress.waiting.is_some() => {}
                 () = Clock.sleep_until(recheck.unwrap_or(self.end)), if recheck.is_some() => {}
                 () = Clock.sleep_until(wakeup) => {
@@ -205,9 +205,9 @@
             overdue: delay,
             trial: leaf.trial_stage(),
         };
-        self.trace.note(self.service.name(), decision);
+        self.trace.record(self.service.name(), decision);
         let verdict = self.quarantine_verdict();
-        let in_flight = self.shared.care.begin(verdict);
+        let in_flight = self.shared.limiter.begin(verdict);
         let attempt = Attempt::start(
             leaf,
             Clock.now(),
@@ -258,7 +258,8 @@
                     self.launch(progress, AttemptReason::NotSent, false);
                 }
             }
-            Some(AttemptEnd::Failed(_) | AttemptEnd::Lost(_) | AttemptEnd::Foreign(_)) | None => {
+            Some(AttemptEnd::Failed(_) | AttemptEnd::Lost(_) | AttemptEnd::Mismatched(_))
+            | None => {
                 attempt.leaf.record_end(true);
                 progress.arrivals += 1;
                 progress.may_have_run = true;
--- a/crates/tansylead-gateway/src/execution/call_end.rs
+++ b/crates/tansylead-gateway/src/execution/call_end.rs
@@ -12,8 +12,8 @@
     pub settled: Cell<bool>,
     /// Whether a leaf has refused an attempt without running it.
     pub was_refused: Cell<bool>,
-    /// Whether leafs end when they run the request.
-    pub care: Rc<SendLimiter>,
+    /// Limits how many leafs the request is sent to while leafs end under it.
+    pub limiter: Rc<SendLimiter>,
 }
 
 /// How a call ended.
--- a/crates/tansylead-gateway/src/execution/call_extra.rs
+++ b/crates/tansylead-gateway/src/execution/call_extra.rs
@@ -31,13 +31,13 @@
                     leaf: Rc::clone(&attempt.leaf),
                     is_sent: attempt.is_sent(),
                 };
-                self.trace.note(self.service.name(), decision);
+                self.trace.record(self.service.name(), decision);
                 match attempt.sent.get() {
                     Some(sent) => {
                         let delay = attempt.overdue_delay;
                         let report = attempt.leaf.on_overdue(sent.at, delay, typical);
                         self.gateway.report(report);
-                        if sent.on_kept {
+                        if sent.is_kept_connection {
                             self.record_kept_overdue(attempt, sent.at);
                         }
                     }
@@ -81,7 +81,7 @@
         let is_hedge = kind == ExtraAttempt::Hedge;
         if is_hedge && leaf.as_ref().is_none_or(is_avoided) {
             // It is better to keep waiting than to try a leaf that does not answer either.
-            return self.deny(DenialReason::NoSoundLeaf);
+            return self.deny(DenialReason::NoHealthyLeaf);
         }
         let open = progress.attempts.iter().filter(|attempt| attempt.is_sent());
         let sent = progress.arrivals + open.count() as u32;
--- a/crates/tansylead-gateway/src/execution/call_quarantine.rs
+++ b/crates/tansylead-gateway/src/execution/call_quarantine.rs
@@ -54,7 +54,7 @@
             fingerprints: self.request.fingerprints,
             sent: sent.at,
             lost: Clock.now(),
-            care: Rc::clone(&self.shared.care),
+            limiter: Rc::clone(&self.shared.limiter),
         };
         attempt.in_flight.on_lost();
         quarantine::on_lost(&self.gateway, &attempt.leaf, request);
@@ -66,7 +66,7 @@
         if reply.status == StatusCode::GATEWAY_TIMEOUT {
             return;
         }
-        if self.shared.care.on_answer() {
+        if self.shared.limiter.on_answer() {
             let request = &self.request.fingerprints;
             self.gateway.quarantine.on_answer(request);
         }
@@ -74,7 +74,7 @@
 
     /// Whether an attempt may start now, by the request's quarantine state.
     pub(super) fn admission(&self) -> SendAdmission {
-        let admission = self.shared.care.admission(self.quarantine_verdict());
+        let admission = self.shared.limiter.admission(self.quarantine_verdict());
         match admission {
             SendAdmission::Now => self.trial_admission(),
             SendAdmission::Later | SendAdmission::Never => admission,
@@ -84,12 +84,12 @@
     /// Whether a suspect request may be tried now: later while another daemon tries it, never once it has
     /// waited too long.
     fn trial_admission(&self) -> SendAdmission {
-        let care = &self.shared.care;
+        let limiter = &self.shared.limiter;
         if !self.is_untried_suspect() {
             return SendAdmission::Now;
         }
         let now = Clock.now();
-        if care.has_trial_wait_expired(now) {
+        if limiter.has_trial_wait_expired(now) {
             return SendAdmission::Never;
         }
         match self.next_trial_recheck() {
@@ -99,9 +99,9 @@
     }
 
     fn is_untried_suspect(&self) -> bool {
-        let care = &self.shared.care;
+        let limiter = &self.shared.limiter;
         let is_suspect = self.quarantine_verdict() == Verdict::Suspect;
-        is_suspect && !care.has_trial_begun() && !care.is_answered()
+        is_suspect && !limiter.has_trial_begun() && !limiter.is_answered()
     }
 
     /// When to check again whether a suspect request may be tried; none if it may be tried now.
@@ -109,16 +109,16 @@
         if !self.is_untried_suspect() {
             return None;
         }
-        let care = &self.shared.care;
+        let limiter = &self.shared.limiter;
         let now = Clock.now();
-        let turn = care.trial_start(now);
+        let turn = limiter.trial_start(now);
         if now < turn {
             return Some(turn);
         }
         let quarantine = &self.gateway.quarantine;
         let until = quarantine.trial_until(&self.request.fingerprints)?;
         // Requests that wait for the same trial must not all continue at the same moment.
-        care.reset_trial_start();
+        limiter.reset_trial_start();
         Some(until)
     }
 
@@ -126,12 +126,12 @@
     /// announces to the other daemons that the request is being tried, again for each leaf.
     pub(super) fn announce_trial(&self) -> impl Fn() + use<> {
         let gateway = Rc::clone(&self.gateway);
-        let care = Rc::clone(&self.shared.care);
+        let limiter = Rc::clone(&self.shared.limiter);
         let request = self.request.fingerprints;
         move || {
             let is_suspect = gateway.quarantine.verdict(&request) == Verdict::Suspect;
-            if is_suspect && !care.is_answered() {
-                care.set_trial_begun();
+            if is_suspect && !limiter.is_answered() {
+                limiter.set_trial_begun();
                 gateway.quarantine.begin_trial(&request);
             }
         }
--- a/crates/tansylead-gateway/src/execution/call_records.rs
+++ b/crates/tansylead-gateway/src/execution/call_records.rs
@@ -20,7 +20,11 @@
 impl Call {
     /// Records that an answer of any kind has arrived: the connection is alive.
     fn record_alive(&self, attempt: &Attempt) {
-        if attempt.sent.get().is_some_and(|sent| sent.on_kept) {
+        if attempt
+            .sent
+            .get()
+            .is_some_and(|sent| sent.is_kept_connection)
+        {
             let now = Clock.now();
             attempt.leaf.on_kept_answer(now);
             self.gateway.on_kept_answer(now);
@@ -52,7 +56,7 @@
     pub(super) fn deny(&self, reason: DenialReason) {
         self.gateway.metrics.on_denied(reason.label());
         self.trace
-            .note(self.service.name(), Decision::Denied { reason });
+            .record(self.service.name(), Decision::Denied { reason });
     }
 
     pub(super) fn record_end(&self, attempt: &Attempt, end: Option<&AttemptEnd>) {
@@ -75,9 +79,10 @@
             Some(AttemptEnd::Lost(error)) => {
                 (AttemptEndKind::Lost, EndCause::Error(error.to_string()))
             }
-            Some(AttemptEnd::Foreign(error)) => {
-                (AttemptEndKind::Foreign, EndCause::Error(error.to_string()))
-            }
+            Some(AttemptEnd::Mismatched(error)) => (
+                AttemptEndKind::Mismatched,
+                EndCause::Error(error.to_string()),
+            ),
             None => {
                 let panicked = "the attempt panicked".to_owned();
                 (AttemptEndKind::Failed, EndCause::Error(panicked))
@@ -90,7 +95,7 @@
             cause,
             took: Clock.now().since(attempt.started),
         };
-        self.trace.note(self.service.name(), decision);
+        self.trace.record(self.service.name(), decision);
     }
 
     pub(super) fn overdue_delay(&self, leaf: &LeafState) -> Duration {
--- a/crates/tansylead-gateway/src/execution/gather.rs
+++ b/crates/tansylead-gateway/src/execution/gather.rs
@@ -143,7 +143,7 @@
             let reachable = service.has_leafs(&route.policy.homes);
             if !reachable {
                 let reason = DenialReason::NoLeaf;
-                self.trace.note(shard, Decision::Denied { reason });
+                self.trace.record(shard, Decision::Denied { reason });
             }
             reachable
         };
--- a/crates/tansylead-gateway/src/execution/request_quarantine.rs
+++ b/crates/tansylead-gateway/src/execution/request_quarantine.rs
@@ -13,7 +13,7 @@
 pub(super) struct RequestQuarantine {
     gateway: Rc<Gateway>,
     fingerprints: RequestFingerprints,
-    care: Rc<SendLimiter>,
+    limiter: Rc<SendLimiter>,
 }
 
 impl RequestQuarantine {
@@ -26,14 +26,14 @@
         Self {
             gateway: Rc::clone(gateway),
             fingerprints: request.fingerprints,
-            care: Rc::clone(&shared.care),
+            limiter: Rc::clone(&shared.limiter),
         }
     }
 
     /// The refusal, if an attempt was not started because the request is quarantined. It states that the request
     /// has not run, which is true only if no other attempt was sent.
     pub(super) fn refusal(&self) -> Option<Refusal> {
-        if !self.care.is_refused() {
+        if !self.limiter.is_refused() {
             return None;
         }
         self.gateway.quarantine.refusal(&self.fingerprints)
--- a/crates/tansylead-gateway/src/headers.rs
+++ b/crates/tansylead-gateway/src/headers.rs
@@ -51,7 +51,7 @@
 
 /// What a leaf's answer says of the request it answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeafWord {
+pub enum ReplyKind {
     /// The leaf answered this request.
     Answered,
     /// The leaf did not run it.
@@ -59,7 +59,7 @@
     /// Another run of a leaf listens at the address; it did not run the request.
     OtherLeaf,
     /// The answer belongs to another request, or to none.
-    Foreign,
+    Mismatched,
 }
 
 impl HeaderNames {
@@ -83,26 +83,26 @@
     }
 
     /// What a leaf's answer to `request` says.
-    pub fn leaf_word(
+    pub fn classify_reply(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
         request: Option<&HeaderValue>,
-    ) -> LeafWord {
+    ) -> ReplyKind {
         let echoed = headers.get(&self.request);
         if echoed.is_some() && echoed != request {
-            return LeafWord::Foreign;
+            return ReplyKind::Mismatched;
         }
         if status == StatusCode::MISDIRECTED_REQUEST {
-            return LeafWord::OtherLeaf;
+            return ReplyKind::OtherLeaf;
         }
         if headers.contains_key(&self.not_run) {
-            return LeafWord::NotRun;
+            return ReplyKind::NotRun;
         }
         if echoed.is_none() && request.is_some() {
-            return LeafWord::Foreign;
+            return ReplyKind::Mismatched;
         }
-        LeafWord::Answered
+        ReplyKind::Answered
     }
 
     /// Writes what a merged answer consists of.
--- a/crates/tansylead-gateway/src/leaf/attempt.rs
+++ b/crates/tansylead-gateway/src/leaf/attempt.rs
@@ -6,7 +6,7 @@
 use super::idle_connections::LeafConnection;
 use super::leaf_state::LeafState;
 use crate::clock::Clock;
-use crate::headers::{HeaderNames, LeafWord};
+use crate::headers::{HeaderNames, ReplyKind};
 use crate::roll_out::{SendEnd, SendTerms};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -47,13 +47,13 @@
     pub fingerprints: RequestFingerprints,
 }
 
-/// The handover of a request to a connection.
+/// When and on which kind of connection a request was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HandOver {
-    /// When it was handed over.
+pub struct SendRecord {
+    /// When it was handed to the connection.
     pub at: Moment,
     /// Whether the connection had been kept from an earlier request.
-    pub on_kept: bool,
+    pub is_kept_connection: bool,
 }
 
 /// How an attempt ended.
@@ -70,7 +70,7 @@
     /// As `Failed`: the connection ended before a complete answer; the leaf may have ended or not.
     Lost(StepError),
     /// As `Failed`: the answer belongs to another request.
-    Foreign(StepError),
+    Mismatched(StepError),
 }
 
 /// Runs one attempt to its end. `may_use` decides, right before the request is handed over, whether
@@ -82,7 +82,7 @@
     names: Rc<HeaderNames>,
     may_use: impl Fn(&LeafState) -> bool,
     terms: SendTerms,
-    sent: Rc<Cell<Option<HandOver>>>,
+    sent: Rc<Cell<Option<SendRecord>>>,
 ) -> AttemptEnd {
     let open = leaf.begin();
     let Ok(_permit) = leaf.connections().permits().acquire_owned().await else {
@@ -109,9 +109,9 @@
         Err(error) => return AttemptEnd::NotSent(error),
     };
     open.set_sent(now, &terms);
-    sent.set(Some(HandOver {
+    sent.set(Some(SendRecord {
         at: now,
-        on_kept: idle_time.is_some(),
+        is_kept_connection: idle_time.is_some(),
     }));
     let exchange = connection.exchange(outgoing, MAXIMUM_ANSWER_BYTES);
     let ended = match Clock.timeout_at(terms.end + ANSWER_SLACK, exchange).await {
@@ -144,7 +144,7 @@
         }
         AttemptEnd::Answered(_) => SendEnd::Good,
         AttemptEnd::Refused(_) | AttemptEnd::NotSent(_) => SendEnd::NotRun,
-        AttemptEnd::Failed(_) | AttemptEnd::Lost(_) | AttemptEnd::Foreign(_) => SendEnd::Failed,
+        AttemptEnd::Failed(_) | AttemptEnd::Lost(_) | AttemptEnd::Mismatched(_) => SendEnd::Failed,
     }
 }
 
@@ -206,9 +206,11 @@
     connection: HttpConnection,
     reply: Reply,
 ) -> AttemptEnd {
-    match names.leaf_word(reply.status, &reply.headers, request.id.as_ref()) {
-        LeafWord::Foreign => AttemptEnd::Foreign(step_error(leaf, "answer to another request")),
-        LeafWord::OtherLeaf => {
+    match names.classify_reply(reply.status, &reply.headers, request.id.as_ref()) {
+        ReplyKind::Mismatched => {
+            AttemptEnd::Mismatched(step_error(leaf, "answer to another request"))
+        }
+        ReplyKind::OtherLeaf => {
             leaf.set_replaced();
             AttemptEnd::Refused(reply)
         }
@@ -217,7 +219,7 @@
                 leaf.give_back(connection, idle_limit(&reply.headers));
             }
             match word {
-                LeafWord::NotRun => AttemptEnd::Refused(reply),
+                ReplyKind::NotRun => AttemptEnd::Refused(reply),
                 _ => AttemptEnd::Answered(reply),
             }
         }
--- a/crates/tansylead-gateway/src/leaf/lost_requests.rs
+++ b/crates/tansylead-gateway/src/leaf/lost_requests.rs
@@ -22,8 +22,8 @@
     pub sent: Moment,
     /// When the connection was lost.
     pub lost: Moment,
-    /// Quarantine state of the request.
-    pub care: Rc<SendLimiter>,
+    /// Send limiter of the request; it is told whether the leaf has ended.
+    pub limiter: Rc<SendLimiter>,
 }
 
 /// Requests of one leaf that may have run when their connections were lost.
@@ -44,7 +44,7 @@
     pub fn add(&self, request: LostRequest) -> bool {
         let mut unprobed = self.unprobed.borrow_mut();
         if unprobed.len() >= MAXIMUM_REQUESTS {
-            request.care.on_checked(false);
+            request.limiter.on_checked(false);
             return false;
         }
         unprobed.push(request);
--- a/crates/tansylead-gateway/src/leaf/mod.rs
+++ b/crates/tansylead-gateway/src/leaf/mod.rs
@@ -11,7 +11,7 @@
 mod open_attempt;
 mod service_state;
 
-pub use attempt::{AttemptEnd, HandOver, OutgoingRequest, run_attempt};
+pub use attempt::{AttemptEnd, OutgoingRequest, SendRecord, run_attempt};
 pub use end_check::{EndEvidence, Probe, probe, watch_entry};
 pub use leaf_state::LeafState;
 pub use lost_requests::{LostRequest, LostRequests};
--- a/crates/tansylead-gateway/src/quarantine/leaf_ends.rs
+++ b/crates/tansylead-gateway/src/quarantine/leaf_ends.rs
@@ -25,7 +25,7 @@
         Probe::Refused => {
             let watched = leaf.lost_requests().take_watched();
             for run in &runs {
-                run.care.on_checked(!leaf.is_leaving());
+                run.limiter.on_checked(!leaf.is_leaving());
             }
             on_ended(
                 &gateway,
@@ -36,7 +36,7 @@
         }
         Probe::Open => {
             for run in &runs {
-                run.care.on_checked(false);
+                run.limiter.on_checked(false);
             }
             let Some(lost) = runs.iter().map(|run| run.lost).min() else {
                 return;
@@ -66,14 +66,14 @@
     for run in runs
         .iter()
         .chain(&abandoned)
-        .filter(|run| !run.care.is_answered())
+        .filter(|run| !run.limiter.is_answered())
     {
         let strike = Strike::new(&ended, run.sent, run.lost, run.fingerprints.caller);
         gateway.quarantine.on_strike(&run.fingerprints, strike);
     }
     // Requests that wait may be admitted or refused now.
     for run in runs {
-        run.care.on_decided();
+        run.limiter.on_decided();
     }
 }
 
--- a/crates/tansylead-gateway/src/request_trace.rs
+++ b/crates/tansylead-gateway/src/request_trace.rs
@@ -54,7 +54,7 @@
     /// No leaf is left that was not tried.
     NoLeaf,
     /// Every leaf that was not tried has stopped answering too.
-    NoSoundLeaf,
+    NoHealthyLeaf,
     /// The time is up.
     End,
     /// Leafs end under the request: it goes to one at a time.
@@ -70,7 +70,7 @@
             Self::Attempts => "attempts",
             Self::Budget => "budget",
             Self::NoLeaf => "no_leaf",
-            Self::NoSoundLeaf => "no_sound_leaf",
+            Self::NoHealthyLeaf => "no_sound_leaf",
             Self::End => "end",
             Self::OneAtATime => "one_at_a_time",
             Self::Quarantined => "quarantined",
@@ -92,7 +92,7 @@
     /// The same: the connection ended under the request.
     Lost,
     /// An answer to another request came.
-    Foreign,
+    Mismatched,
 }
 
 impl AttemptEndKind {
@@ -104,7 +104,7 @@
             Self::NotSent => "not_sent",
             Self::Failed => "failed",
             Self::Lost => "lost",
-            Self::Foreign => "foreign",
+            Self::Mismatched => "foreign",
         }
     }
 }
@@ -211,7 +211,7 @@
     /// No leaf was left to try.
     NoLeaf,
     /// Every other leaf had stopped answering too.
-    NoSoundLeaf,
+    NoHealthyLeaf,
     /// The time was up.
     End,
     /// Leafs ended under the request, and it went to one at a time.
@@ -232,7 +232,7 @@
             Self::Attempts => "attempts",
             Self::Budget => "budget",
             Self::NoLeaf => "no_leaf",
-            Self::NoSoundLeaf => "no_sound_leaf",
+            Self::NoHealthyLeaf => "no_sound_leaf",
             Self::End => "end",
             Self::OneAtATime => "one_at_a_time",
             Self::Quarantined => "quarantined",
@@ -254,7 +254,7 @@
                 DenialReason::Attempts => Self::Attempts,
                 DenialReason::Budget => Self::Budget,
                 DenialReason::NoLeaf => Self::NoLeaf,
-                DenialReason::NoSoundLeaf => Self::NoSoundLeaf,
+                DenialReason::NoHealthyLeaf => Self::NoHealthyLeaf,
                 DenialReason::End => Self::End,
                 DenialReason::OneAtATime => Self::OneAtATime,
                 DenialReason::Quarantined => Self::Quarantined,
@@ -293,7 +293,7 @@
     }
 
     /// Remembers a decision.
-    pub fn note(&self, service: &ServiceName, decision: Decision) {
+    pub fn record(&self, service: &ServiceName, decision: Decision) {
         let traced = TracedDecision {
             at: Clock.now(),
             service: service.clone(),
--- a/crates/tansylead-gateway/tests/attempts.rs
+++ b/crates/tansylead-gateway/tests/attempts.rs
@@ -89,7 +89,7 @@
     for id in [Some("other"), None] {
         let leaf = state(leaf(answer(id)).await);
         let end = attempt(&leaf).await;
-        assert!(matches!(end, AttemptEnd::Foreign(_)), "{id:?}: {end:?}");
+        assert!(matches!(end, AttemptEnd::Mismatched(_)), "{id:?}: {end:?}");
         assert_eq!(leaf.idle_connections(), 0);
     }
 }
--- a/crates/tansylead-gateway/tests/connections.rs
+++ b/crates/tansylead-gateway/tests/connections.rs
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_daemon_that_has_just_started_takes_a_small_share_of_connections() {
-    // Regression: each daemon assumed that it was the only one (incident inc-b3d2).
+    // Regression: each daemon assumed that it was the only one, and took all connections of a leaf for itself.
     let gateway = gateway();
     assert!(
         limit(&gateway) <= MAXIMUM_CONNECTIONS / 8,
--- a/crates/tansylead-gateway/tests/quarantine.rs
+++ b/crates/tansylead-gateway/tests/quarantine.rs
@@ -234,7 +234,7 @@
         fingerprints: fatal(),
         sent: at - Duration::from_millis(30),
         lost: at,
-        care: Rc::default(),
+        limiter: Rc::default(),
     };
     leaf_runs.abandon(given_up(now));
     let later = now + Duration::from_secs(1);
--- a/crates/tansylead-gateway/tests/request_trace.rs
+++ b/crates/tansylead-gateway/tests/request_trace.rs
@@ -32,7 +32,7 @@
         overdue,
         trial: None,
     };
-    trace.note(service, decision);
+    trace.record(service, decision);
 }
 
 fn end(trace: &RequestTrace, service: &ServiceName, end: AttemptEndKind, cause: EndCause) {
@@ -42,7 +42,7 @@
         cause,
         took: OVERDUE,
     };
-    trace.note(service, decision);
+    trace.record(service, decision);
 }
 
 fn answer(trace: &RequestTrace, service: &ServiceName) {
@@ -52,11 +52,11 @@
 
 fn overdue(trace: &RequestTrace, service: &ServiceName, is_sent: bool) {
     let leaf = leaf(service);
-    trace.note(service, Decision::Overdue { leaf, is_sent });
+    trace.record(service, Decision::Overdue { leaf, is_sent });
 }
 
 fn deny(trace: &RequestTrace, service: &ServiceName, reason: DenialReason) {
-    trace.note(service, Decision::Denied { reason });
+    trace.record(service, Decision::Denied { reason });
 }
 
 fn services(trace: &RequestTrace) -> Vec<String> {
