--- a/crates/tansylead-gateway/src/execution/at_root.rs
+++ b/crates/tansylead-gateway/src/execution/at_root.rs
@@ -42,7 +42,7 @@
 }
 
 impl QueryAtRoot<'_> {
-    /// Lets a root run the query. None if it has not run: then this daemon runs it.
+    /// Lets a root run the query. None if none has run it: then this daemon does.
     pub async fn run(&self) -> Option<Outcome> {
         let root = self.choose()?;
         self.trace.set_root(root.address());
--- a/crates/tansylead-gateway/src/execution/call.rs
+++ b/crates/tansylead-gateway/src/execution/call.rs
@@ -52,7 +52,9 @@
 pub(super) struct Progress {
     pub(super) attempts: Vec<Attempt>,
     pub(super) tried: Vec<LeafId>,
-    pub(super) arrivals: u32,
+    /// Attempts that were sent and have ended.
+    pub(super) ended_sent: u32,
+    /// Attempts that failed or got stuck before anything was sent.
     pub(super) not_sent: u32,
     pub(super) may_have_run: bool,
     pub(super) reply: Option<Reply>,
@@ -69,7 +71,7 @@
         let mut progress = Progress {
             attempts: Vec::new(),
             tried: Vec::new(),
-            arrivals: 0,
+            ended_sent: 0,
             not_sent: 0,
             may_have_run: false,
             reply: None,
@@ -238,7 +240,7 @@
                 if !failed {
                     self.record_answer(&attempt);
                 }
-                progress.arrivals += 1;
+                progress.ended_sent += 1;
                 progress.may_have_run = true;
                 if self.is_final(&reply) {
                     return Some(reply);
@@ -249,7 +251,7 @@
             Some(AttemptEnd::Refused(_)) => {
                 self.shared.was_refused.set(true);
                 attempt.leaf.record_end(true);
-                progress.arrivals += 1;
+                progress.ended_sent += 1;
                 self.retry(progress, false);
             }
             Some(AttemptEnd::NotSent(_)) => {
@@ -261,7 +263,7 @@
             Some(AttemptEnd::Failed(_) | AttemptEnd::Lost(_) | AttemptEnd::Mismatched(_))
             | None => {
                 attempt.leaf.record_end(true);
-                progress.arrivals += 1;
+                progress.ended_sent += 1;
                 progress.may_have_run = true;
                 self.retry(progress, true);
             }
--- a/crates/tansylead-gateway/src/execution/call_extra.rs
+++ b/crates/tansylead-gateway/src/execution/call_extra.rs
@@ -84,7 +84,7 @@
             return self.deny(DenialReason::NoHealthyLeaf);
         }
         let open = progress.attempts.iter().filter(|attempt| attempt.is_sent());
-        let sent = progress.arrivals + open.count() as u32;
+        let sent = progress.ended_sent + open.count() as u32;
         if sent >= self.route.policy.maximum_attempts {
             return self.deny(DenialReason::Attempts);
         }
--- a/crates/tansylead-gateway/src/execution/call_quarantine.rs
+++ b/crates/tansylead-gateway/src/execution/call_quarantine.rs
@@ -111,9 +111,9 @@
         }
         let limiter = &self.shared.limiter;
         let now = Clock.now();
-        let turn = limiter.trial_start(now);
-        if now < turn {
-            return Some(turn);
+        let start = limiter.trial_start(now);
+        if now < start {
+            return Some(start);
         }
         let quarantine = &self.gateway.quarantine;
         let until = quarantine.trial_until(&self.request.fingerprints)?;
--- a/crates/tansylead-gateway/src/leaf/end_check.rs
+++ b/crates/tansylead-gateway/src/leaf/end_check.rs
@@ -70,7 +70,8 @@
     }
 }
 
-/// Waits until the leaf's entry or its answers show whether it has ended since `lost`.
+/// Waits until the leaf's entry shows that it has ended since `lost`; none if it answers again, or its entry
+/// outlasts `ENTRY_LIMIT`.
 pub async fn watch_entry(leaf: &LeafState, lost: Moment) -> Option<EndEvidence> {
     while Clock.now().since(lost) < ENTRY_LIMIT
         && !leaf.has_answered_since(lost + TRANSIT_TOLERANCE)
--- a/crates/tansylead-gateway/src/leaf/leaf_availability.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_availability.rs
@@ -50,16 +50,16 @@
             .set(self.entry_state.get().after_received());
     }
 
-    /// Records that the entry is missing. Returns whether that changed anything.
+    /// Records that the entry is missing. Returns false if it does not matter, as another run has replaced the leaf.
     pub(super) fn set_missing(&self, now: Moment, source_was_away: bool) -> bool {
-        let is_new = self.entry_state.get() != EntryState::Replaced;
-        if is_new {
+        let is_current = self.entry_state.get() != EntryState::Replaced;
+        if is_current {
             self.entry_state.set(EntryState::Missing {
                 since: now,
                 source_was_away,
             });
         }
-        is_new
+        is_current
     }
 
     /// Records that only an older copy of the source lists the leaf.
--- a/crates/tansylead-gateway/src/leaf/leaf_connections.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_connections.rs
@@ -137,17 +137,17 @@
         self.silence.set(silence);
     }
 
-    /// Records that an answer is overdue on a connection that had been kept. Closes the other kept connections,
-    /// and returns true, if all of them have most likely gone silent.
+    /// Records that an answer is overdue on a connection that had been kept. Closes the other kept connections
+    /// if all of them have most likely gone silent. Returns whether any was closed.
     pub(super) fn on_kept_overdue(&self, now: Moment, sent: Moment) -> bool {
         let mut silence = self.silence.get();
         let is_lost = silence.on_overdue(now, sent, SilenceLimit::ONE_LEAF);
         self.silence.set(silence);
-        let closes = is_lost && self.idle.count() > 0;
-        if closes {
+        let has_closed = is_lost && self.idle.count() > 0;
+        if has_closed {
             self.idle.close_all();
         }
-        closes
+        has_closed
     }
 
     /// The most recently used idle connection, if it has been idle for at most `max_idle`.
--- a/crates/tansylead-gateway/src/leaf/leaf_state.rs
+++ b/crates/tansylead-gateway/src/leaf/leaf_state.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct LeafState {
     availability: LeafAvailability,
-    /// Versions of the leaf's service.
+    /// Software versions of the leaf's service, with its roll-out order.
     versions: Rc<ServiceVersions>,
     location: LeafLocation,
     in_flight: Cell<u32>,
@@ -77,10 +77,10 @@
     }
 
     /// Records that the entry is missing. Connections are kept only if it may have expired while the
-    /// source was away.
+    /// source was unavailable.
     pub fn set_missing(&self, now: Moment, source_was_away: bool) {
-        let is_new = self.availability.set_missing(now, source_was_away);
-        if is_new && !source_was_away {
+        let was_recorded = self.availability.set_missing(now, source_was_away);
+        if was_recorded && !source_was_away {
             self.connections.close_idle();
         }
     }
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Versions of the leaf's service.
+    /// Software versions of the leaf's service, with its roll-out order.
     pub(super) fn versions(&self) -> &ServiceVersions {
         &self.versions
     }
@@ -289,7 +289,7 @@
         self.availability.is_leaving()
     }
 
-    /// Whether the leaf's entry disappeared unannounced while the source was available.
+    /// Whether the leaf's entry disappeared unannounced while the source was available, or another run replaced it.
     pub fn has_vanished(&self) -> bool {
         self.availability.has_vanished()
     }
--- a/crates/tansylead-gateway/src/state.rs
+++ b/crates/tansylead-gateway/src/state.rs
@@ -95,7 +95,7 @@
     evacuated: RefCell<Option<EvacuationOrders>>,
     /// Roll-out orders as the source reports them; none until they are known.
     roll_outs: RefCell<Option<RollOuts>>,
-    /// Orders to act on: those of the source, with what it has lost.
+    /// Orders to act on: those of the source, with the orders and outcomes that it has lost.
     current_roll_outs: RefCell<RollOuts>,
     order_memory: RefCell<OrderMemory>,
     roll_out_context: Rc<RollOutContext>,
--- a/crates/tansylead-gateway/src/state/leafs.rs
+++ b/crates/tansylead-gateway/src/state/leafs.rs
@@ -135,8 +135,8 @@
     fn create_service(&self, name: &ServiceName) -> Rc<ServiceState> {
         let service = self.create_empty_service(name);
         let directory = self.directory.borrow();
-        let own = directory.entries().filter(|entry| entry.service == *name);
-        for entry in own {
+        let listed = directory.entries().filter(|entry| entry.service == *name);
+        for entry in listed {
             self.put_leaf(entry.clone(), false);
         }
         service
@@ -222,7 +222,7 @@
         Some(service)
     }
 
-    /// Ends a run of a leaf that another run, with no state of it, has replaced under the same id.
+    /// Ends a run of a leaf that was started again under the same id; the new run keeps nothing of its state.
     fn end_run(&self, leaf: &LeafState) {
         log::info!(leaf = leaf.entry().leaf.as_str(); "leaf started again under its id");
         self.metrics.on_leaf_restarted();
