--- a/crates/tansylead-gateway/src/caller/server.rs
+++ b/crates/tansylead-gateway/src/caller/server.rs
@@ -1,6 +1,7 @@
 //! Accepts callers, and stops without interrupting any request.
 //!
-//! Invariant: a connection is closed only between requests, unless its time limit has expired.
+//! Invariant: a connection is closed only between requests, unless reading a request's head or writing its answer
+//! takes longer than the idle timeout, or than `CLOSE_LIMIT` in a planned stop.
 
 use super::handler::handle;
 use crate::clock::Clock;
--- a/crates/tansylead-gateway/tests/common/fleet.rs
+++ b/crates/tansylead-gateway/tests/common/fleet.rs
@@ -49,7 +49,7 @@
 pub struct Fleet {
     /// The gateway.
     pub gateway: Rc<Gateway>,
-    /// The leaf that ran before.
+    /// The leaf that ran before the order.
     pub old: FakeLeaf,
     /// The leaf of the target version.
     pub new: FakeLeaf,
--- a/crates/tansylead-gateway/tests/common/trial.rs
+++ b/crates/tansylead-gateway/tests/common/trial.rs
@@ -49,7 +49,7 @@
 pub struct Trial {
     /// Versions of the service.
     pub versions: Rc<ServiceVersions>,
-    /// A leaf that ran before.
+    /// A leaf that ran before the order.
     pub old: Rc<LeafState>,
     /// A leaf of the target version.
     pub new: Rc<LeafState>,
