--- a/crates/tansylead-gateway/src/headers.rs
+++ b/crates/tansylead-gateway/src/headers.rs
@@ -59,7 +59,7 @@
     /// A different run of a leaf listens at the address; it did not run the request.
     OtherLeaf,
     /// The answer belongs to another request, or to none.
-    Foreign,
+    Mismatched,
 }
 
 impl HeaderNames {
@@ -91,7 +91,7 @@
     ) -> AnswerKind {
         let echoed = headers.get(&self.request);
         if echoed.is_some() && echoed != request {
-            return AnswerKind::Foreign;
+            return AnswerKind::Mismatched;
         }
         if status == StatusCode::MISDIRECTED_REQUEST {
             return AnswerKind::OtherLeaf;
@@ -100,7 +100,7 @@
             return AnswerKind::NotRun;
         }
         if echoed.is_none() && request.is_some() {
-            return AnswerKind::Foreign;
+            return AnswerKind::Mismatched;
         }
         AnswerKind::Answered
     }
--- a/crates/tansylead-gateway/src/request_trace.rs
+++ b/crates/tansylead-gateway/src/request_trace.rs
@@ -92,7 +92,7 @@
     /// Like `Failed`: the connection ended during the request.
     Lost,
     /// The answer belonged to another request.
-    Foreign,
+    Mismatched,
 }
 
 impl AttemptEndKind {
@@ -104,7 +104,7 @@
             Self::NotSent => "not_sent",
             Self::Failed => "failed",
             Self::Lost => "lost",
-            Self::Foreign => "foreign",
+            Self::Mismatched => "foreign",
         }
     }
 }
