--- a/crates/tansylead-emulator/src/cold_rule.rs
+++ b/crates/tansylead-emulator/src/cold_rule.rs
@@ -4,9 +4,9 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Factor and slack by which the requests of one second may exceed the rate of a cold leaf; both
-/// are given by the users.
+/// Factor on the rate of a cold leaf up to which daemons may send to it; given by the users.
 const OVERSHOOT: f64 = 1.5;
+/// Requests in one second that are allowed beyond [`OVERSHOOT`]; given by the users.
 const SLACK: f64 = 5.0;
 /// The bound holds in each span of this length.
 const WINDOW: Duration = Duration::from_secs(1);
--- a/crates/tansylead-emulator/src/deployment.rs
+++ b/crates/tansylead-emulator/src/deployment.rs
@@ -265,7 +265,7 @@
         self.oracle.record_evacuation(zone);
     }
 
-    /// Revokes the evacuation of a zone.
+    /// Withdraws the evacuation of a zone.
     pub fn end_evacuation(&self, zone: &str) {
         self.operator_state.lock().evacuations.remove(zone);
         self.oracle.record_evacuation_end(zone);
--- a/crates/tansylead-emulator/src/fatal_rule.rs
+++ b/crates/tansylead-emulator/src/fatal_rule.rs
@@ -9,9 +9,9 @@
 pub const FATAL_ITEM: &str = "fatal-";
 /// Number of crashed leafs after which a request is known to crash leafs.
 const CRASHES_UNTIL_KNOWN: usize = 3;
-/// Time in which all daemons must learn of it.
+/// Time in which all daemons must learn of such a request once it is known.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(5);
-/// Number of requests that may reach leafs even after that.
+/// Number of copies of such a request that may reach leafs even after [`PROPAGATION_LIMIT`].
 const TOLERATED_REQUESTS: usize = 3;
 /// Text in the answer to a request that was refused because it crashes leafs.
 const REFUSAL: &[u8] = b"ends_leafs";
@@ -29,7 +29,8 @@
     identities: HashMap<String, String>,
     /// When leafs crashed, by identity.
     crashes: HashMap<String, Vec<Instant>>,
-    /// Requests that reached leafs, and when; only while daemons were undisturbed by faults.
+    /// Requests that reached leafs, and when; not during faults that affect daemons, nor within [`PROPAGATION_LIMIT`]
+    /// after them.
     arrivals: Vec<(Instant, String)>,
     arrived: HashSet<String>,
     /// Number of ongoing faults that affect daemons.
@@ -67,7 +68,7 @@
         self.crashes.values().map(Vec::len).sum()
     }
 
-    /// Whether a request that crashes leafs has reached any.
+    /// Whether a leaf was reached by this request, which must be one that crashes leafs.
     pub(crate) fn has_arrived(&self, request: &str) -> bool {
         self.arrived.contains(request)
     }
--- a/crates/tansylead-emulator/src/leaf.rs
+++ b/crates/tansylead-emulator/src/leaf.rs
@@ -20,7 +20,7 @@
     /// No fault.
     #[default]
     None,
-    /// It answers nothing as long as this is set.
+    /// It finishes no request as long as this is set.
     Paused,
     /// Its processing time is multiplied by this factor.
     Slow(f64),
--- a/crates/tansylead-emulator/src/oracle.rs
+++ b/crates/tansylead-emulator/src/oracle.rs
@@ -100,7 +100,7 @@
         self.seen.lock().fatal.crashed_leafs()
     }
 
-    /// Whether a request that crashes leafs has reached any.
+    /// Whether a leaf was reached by this request, which must be one that crashes leafs.
     pub fn has_arrived(&self, request: &str) -> bool {
         self.seen.lock().fatal.has_arrived(request)
     }
@@ -115,7 +115,7 @@
         self.seen.lock().roll_outs.record_order(order)
     }
 
-    /// Records that an order to roll out is replaced or revoked.
+    /// Records that an order to roll out is replaced or withdrawn.
     pub fn record_superseded(&self, id: RollOutId) {
         self.seen.lock().roll_outs.record_superseded(id);
     }
@@ -125,7 +125,7 @@
         self.seen.lock().roll_outs.record_outcome(id, end);
     }
 
-    /// Records that the store states another state for a roll-out that has ended.
+    /// Records that the store shows an unknown state, or no outcome although the roll-out has ended.
     pub fn record_changed_outcome(&self, id: RollOutId, state: &str) {
         self.seen.lock().roll_outs.record_changed_outcome(id, state);
     }
@@ -192,7 +192,7 @@
         self.seen.lock().places.record_evacuation(zone);
     }
 
-    /// Records that the order to evacuate a zone is revoked.
+    /// Records that the order to evacuate a zone is withdrawn.
     pub fn record_evacuation_end(&self, zone: &str) {
         self.seen.lock().places.record_evacuation_end(zone);
     }
--- a/crates/tansylead-emulator/src/place_rules.rs
+++ b/crates/tansylead-emulator/src/place_rules.rs
@@ -21,7 +21,7 @@
         self.evacuated.insert(zone.to_owned(), Instant::now());
     }
 
-    /// Records that an order is revoked.
+    /// Records that an order is withdrawn.
     pub(crate) fn record_evacuation_end(&mut self, zone: &str) {
         self.evacuated.remove(zone);
     }
--- a/crates/tansylead-emulator/src/restored_store.rs
+++ b/crates/tansylead-emulator/src/restored_store.rs
@@ -32,7 +32,8 @@
 }
 
 impl OperatorState {
-    /// Repeats the writes that the store has lost, and revokes the evacuations that it has brought back.
+    /// Repeats the writes that the store has lost, and withdraws again the evacuations that it has
+    /// brought back.
     fn write(&self, store: &StoreServer) {
         if let Some(configuration) = self.configuration.clone() {
             store.put("config", "main", configuration);
--- a/crates/tansylead-emulator/src/roll_out.rs
+++ b/crates/tansylead-emulator/src/roll_out.rs
@@ -21,9 +21,9 @@
 const KIND: &str = "rollouts";
 /// Period at which the platform polls the state of a roll-out.
 const CHECK_PERIOD: Duration = Duration::from_millis(10);
-/// The entries of stopped leafs expire after some seconds.
+/// Time after which the entries of stopped leafs expire.
 const ENTRY_EXPIRY: Duration = Duration::from_secs(3);
-/// Delay before leafs of a version that was rolled back start to drain.
+/// Delay before leafs of a version start to drain that was rolled back or whose order was replaced or withdrawn.
 const DRAIN_DELAY: Duration = Duration::from_secs(4);
 /// Time for which leafs drain before they stop.
 const DRAIN_DURATION: Duration = Duration::from_secs(4);
@@ -78,8 +78,8 @@
         Ok(id)
     }
 
-    /// Revokes the order for a service.
-    pub fn revoke_roll_out(&mut self, service: &str) {
+    /// Withdraws the order for a service.
+    pub fn withdraw_roll_out(&mut self, service: &str) {
         self.supersede(service);
         self.store.delete(KIND, service);
     }
@@ -243,7 +243,7 @@
         Some(state.to_owned())
     }
 
-    /// Handles that the order is replaced or revoked. If it has not ended, its leafs are drained.
+    /// Handles that the order is replaced or withdrawn. If it has not ended, its leafs are drained.
     fn supersede(&self) {
         self.update();
         let mut progress = self.progress.lock();
--- a/crates/tansylead-emulator/src/roll_out_rules.rs
+++ b/crates/tansylead-emulator/src/roll_out_rules.rs
@@ -139,7 +139,7 @@
         RollOutId(self.records.len() - 1)
     }
 
-    /// Records that an order is replaced or revoked.
+    /// Records that an order is replaced or withdrawn.
     pub(crate) fn record_superseded(&mut self, id: RollOutId) {
         self.records[id.0].seen.is_superseded = true;
     }
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Records that the store states another state for a roll-out that has ended.
+    /// Records that the store shows an unknown state, or no outcome although the roll-out has ended.
     pub(crate) fn record_changed_outcome(&mut self, id: RollOutId, state: &str) {
         let text = format!("{state} after its end");
         self.records[id.0].add_violation("TURNED", &text);
--- a/crates/tansylead-emulator/src/roll_out_table.rs
+++ b/crates/tansylead-emulator/src/roll_out_table.rs
@@ -10,7 +10,7 @@
     let order = &seen.order;
     let end = match seen.end {
         Some((end, after)) => format!("{end:?} after {:.1} s", after.as_secs_f64()),
-        None if seen.is_superseded => "replaced or revoked".to_owned(),
+        None if seen.is_superseded => "replaced or withdrawn".to_owned(),
         None => "no end".to_owned(),
     };
     let last_send_after_proof = seen.last_send_after_proof.map_or_else(
@@ -53,7 +53,7 @@
         let is_late = seen.end.is_some() && !seen.is_wrong() && !seen.is_as_required();
         self.late += usize::from(is_late);
         self.interrupted += seen.interrupted;
-        // Sends after a completion on time no longer count as exposure.
+        // Sends between a completion and the deadline are no exposure but are counted in `sends`.
         if seen.end.is_none_or(|(end, _)| end != RollOutEnd::Completed) {
             let used = f64::from(seen.sends) / seen.allowed();
             self.maximum_use = self.maximum_use.max(used);
--- a/crates/tansylead-emulator/src/seen_roll_out.rs
+++ b/crates/tansylead-emulator/src/seen_roll_out.rs
@@ -34,7 +34,7 @@
     pub order: RollOutOrder,
     /// How it ended, and how long after the order.
     pub end: Option<(RollOutEnd, Duration)>,
-    /// Whether the order was revoked or replaced before its end.
+    /// Whether the order was withdrawn or replaced before its end.
     pub is_superseded: bool,
     /// Whether a fault was injected before it ended.
     pub is_disturbed: bool,
--- a/crates/tansylead-emulator/src/soak/roll_outs.rs
+++ b/crates/tansylead-emulator/src/soak/roll_outs.rs
@@ -18,8 +18,8 @@
 const PAUSE_MILLIS: std::ops::Range<u64> = 4_000..16_000;
 /// Share of roll-outs whose order is replaced by another one midway.
 const REPLACED_SHARE: f64 = 0.15;
-/// Share of roll-outs whose order is revoked midway.
-const REVOKED_SHARE: f64 = 0.1;
+/// Share of roll-outs whose order is withdrawn midway.
+const WITHDRAWN_SHARE: f64 = 0.1;
 /// Share of roll-outs to the version that the deployment started with.
 const FIRST_VERSION_SHARE: f64 = 0.1;
 /// Time after its deadline within which a roll-out may still end, because the store may have been unavailable.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Order(RollOutPlan),
-    Revoke(String),
+    Withdraw(String),
 }
 
 /// The remaining roll-outs of a soak.
@@ -60,8 +60,8 @@
                     draw_roll_out(&mut random, service, &format!("v{}", number + 1))
                 };
                 steps.push_back((middle, Step::Order(other)));
-            } else if random.random_bool(REVOKED_SHARE) {
-                steps.push_back((middle, Step::Revoke(service.clone())));
+            } else if random.random_bool(WITHDRAWN_SHARE) {
+                steps.push_back((middle, Step::Withdraw(service.clone())));
             }
             at = end + Duration::from_millis(random.random_range(PAUSE_MILLIS));
             number += 2;
@@ -84,7 +84,7 @@
                 Step::Order(plan) => {
                     deployment.roll_out(&plan).await?;
                 }
-                Step::Revoke(service) => deployment.revoke_roll_out(&service),
+                Step::Withdraw(service) => deployment.withdraw_roll_out(&service),
             }
         }
         Ok(())
--- a/crates/tansylead-emulator/tests/roll_out_platform.rs
+++ b/crates/tansylead-emulator/tests/roll_out_platform.rs
@@ -111,9 +111,9 @@
 }
 
 #[tokio::test]
-async fn an_order_that_is_revoked_stops_its_leafs() {
+async fn an_order_that_is_withdrawn_stops_its_leafs() {
     let mut deployment = start().await;
-    deployment.revoke_roll_out(SERVICE);
+    deployment.withdraw_roll_out(SERVICE);
     assert!(deployment.store.get("rollouts", SERVICE).is_none());
     assert!(until(|| leaf_state(&deployment, "v2").is_none()).await);
     assert_eq!(deployment.oracle.roll_outs()[0].end, None);
