--- a/crates/tansylead-gateway/src/cluster/feed_server.rs
+++ b/crates/tansylead-gateway/src/cluster/feed_server.rs
@@ -16,7 +16,7 @@
 const LARGE_REPLY_BYTES: usize = 4 * 1024;
 /// A directory of at most this many entries is sent whole to any daemon that lacks it: it is no larger than a
 /// configuration.
-const SMALL_DIRECTORY: usize = 500;
+const SMALL_DIRECTORY_ENTRIES: usize = 500;
 /// Longest wait for news that a request may ask for.
 const LONGEST_WAIT: Duration = Duration::from_secs(5);
 
@@ -100,7 +100,7 @@
     let configuration = newer.map(|held| Configuration::clone(held));
     let directory = gateway.directory().delta_after(request.revision);
     let directory = directory.filter(|delta| {
-        let is_large = matches!(delta, DirectoryDelta::Everything { entries, .. } if entries.len() > SMALL_DIRECTORY);
+        let is_large = matches!(delta, DirectoryDelta::Everything { entries, .. } if entries.len() > SMALL_DIRECTORY_ENTRIES);
         !is_large || request.wants_whole_directory
     });
     let revision = gateway.directory().revision();
--- a/crates/tansylead-gateway/src/cluster/members.rs
+++ b/crates/tansylead-gateway/src/cluster/members.rs
@@ -25,10 +25,10 @@
 /// The task checks its state at least this often.
 const MAXIMUM_WAIT: Duration = Duration::from_secs(1);
 
-/// Daemons to which the daemon that finds a request under which leafs end sends it: all of a small fleet. In a
-/// larger one each of them relays it to some others, which reaches all but about 2 in 100; digests reach the rest.
+/// A daemon that finds a request under which leafs end reports it to this many others: all of a small fleet. In a
+/// larger one each of them relays the report, which reaches all but about 2 in 100 daemons; digests reach the rest.
 const QUARANTINE_PEERS: usize = 32;
-/// Daemons to which each daemon relays it.
+/// Each daemon relays such a report to this many others.
 const QUARANTINE_RELAYS: usize = 4;
 
 /// Owns the UDP socket and the membership.
@@ -247,7 +247,8 @@
         }
     }
 
-    /// Restarts membership with a later boot number than an earlier run of this daemon whose wall clock was ahead.
+    /// Restarts membership with a boot number above that of `by`. Boot numbers come from the wall clock, so an earlier
+    /// run of this daemon whose clock was ahead has a greater one.
     fn restart_after(&mut self, by: InstanceId) {
         log::warn!(boot = by.boot; "own address is held by a run with a later boot number; restarting membership");
         self.local.instance.boot = by.boot + 1;
@@ -256,7 +257,7 @@
         self.handle(MembershipEvent::Wakeup);
     }
 
-    /// Counts the daemons that are running, or may be.
+    /// Counts all daemons but those that have left: suspected and failed ones may still be running.
     fn count_daemons(&self) -> DaemonCounts {
         let members = self.membership.members();
         let counted: Vec<&MemberRecord> = members
--- a/crates/tansylead-gateway/src/cluster/publish_throttle.rs
+++ b/crates/tansylead-gateway/src/cluster/publish_throttle.rs
@@ -11,7 +11,7 @@
 /// a bounded part of the processor in a fleet of any size.
 const INTERVAL_PER_MEMBER: Duration = Duration::from_micros(200);
 
-/// Whether changes wait for evaluation, and for how long.
+/// Whether changes wait for evaluation, and the earliest time of the next evaluation.
 #[derive(Debug, Default)]
 pub struct PublishThrottle {
     has_changes: bool,
--- a/crates/tansylead-gateway/src/cluster/query_roots.rs
+++ b/crates/tansylead-gateway/src/cluster/query_roots.rs
@@ -297,7 +297,7 @@
     }
 }
 
-/// One query at a root; ends when dropped, also if its caller disconnects.
+/// One query at a root. Dropping it, also because its caller disconnects, tells the circuit breaker that it ended.
 struct OpenQuery<'a> {
     root: &'a RootPeer,
     sent: Moment,
