--- a/crates/tansylead-gateway/src/daemon.rs
+++ b/crates/tansylead-gateway/src/daemon.rs
@@ -220,7 +220,7 @@
     }
 }
 
-/// A planned stop: reports not ready at once, continues to serve, closes idle connections, and ends in time.
+/// A planned stop: immediately reports not ready, continues to serve, closes idle connections, and ends in time.
 async fn stop(gateway: &Gateway) {
     let limit = gateway.settings.bounds.stop_limit();
     let started = Clock.now();
--- a/crates/tansylead-gateway/src/logging.rs
+++ b/crates/tansylead-gateway/src/logging.rs
@@ -2,8 +2,8 @@
 //!
 //! One JSON object per line. Lines pass through a bounded queue to a dedicated thread, so that
 //! writing never delays a request; lines that do not fit are dropped and counted. Each kind of line is
-//! rate-limited, and the number of suppressed lines is logged. Lines of single requests have their own
-//! limits (`request_log`).
+//! rate-limited, except errors, and the number of suppressed lines is logged. Lines of single requests have
+//! their own limits (`request_log`).
 
 use crate::clock::Clock;
 use crate::log_queue::{LastLines, LogQueue};
--- a/crates/tansylead-gateway/src/request_log.rs
+++ b/crates/tansylead-gateway/src/request_log.rs
@@ -120,7 +120,7 @@
         log
     }
 
-    /// Writes the end of the request.
+    /// Counts the end of the request in the metrics, and logs it within the limits of the log.
     pub fn finish(&mut self, outcome: &Outcome) {
         self.is_finished = true;
         let took = Clock.now().since(self.arrived);
--- a/crates/tansylead-gateway/src/request_trace.rs
+++ b/crates/tansylead-gateway/src/request_trace.rs
@@ -319,7 +319,8 @@
         decisions.push(traced);
     }
 
-    /// Number of decisions, including those left out because there were too many.
+    /// Number of recorded decisions, and of those left out because there were too many. Decisions of healthy parts
+    /// that were dropped are not counted.
     pub fn count(&self) -> usize {
         let healthy = self
             .last_healthy
