--- a/crates/tansylead-gateway/src/quarantine/exchange.rs
+++ b/crates/tansylead-gateway/src/quarantine/exchange.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 /// Period at which a daemon with records sends its digest to another: three rounds reach all daemons of a small
-/// fleet that missed a datagram, within half of the shortest time for which users still count a silent machine as
-/// reachable (5 s).
+/// fleet that missed a datagram, within half of the shortest time without a disturbance after which the users hold
+/// a machine to their time limits (5 s).
 const PERIOD: Duration = Duration::from_millis(800);
 /// Initial backoff between the digests that a daemon sends until it knows what was quarantined before.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
