--- a/crates/tansylead-daemon/src/root/actor/commands.rs
+++ b/crates/tansylead-daemon/src/root/actor/commands.rs
@@ -85,7 +85,7 @@
         };
         RootStatus {
             snapshot_in_use: engine.snapshot_in_use,
-            every_shard_has_a_replica: engine.whole,
+            every_shard_has_a_replica: engine.every_shard_has_a_replica,
             leafs: engine.leafs.len(),
             draining: names(|leaf| leaf.leaving),
             unreachable: names(|leaf| leaf.unreachable),
--- a/crates/tansylead-lab/src/simulation/daemon/root.rs
+++ b/crates/tansylead-lab/src/simulation/daemon/root.rs
@@ -408,7 +408,7 @@
         };
         let leafs = root.engine.status(clocks.now).leafs.into_iter();
         let leaving = leafs
-            .filter(|leaf| leaf.leaving_by_own_word)
+            .filter(|leaf| leaf.leaving_self_reported)
             .map(|leaf| leaf.leaf);
         let leaving: BTreeSet<LeafId> = leaving.collect();
         for notice in root
--- a/crates/tansylead-query/src/attempt_end.rs
+++ b/crates/tansylead-query/src/attempt_end.rs
@@ -1,10 +1,10 @@
-//! What follows the end of an attempt: matching of every echoed field, lessons about the leaf,
-//! and the next step for the shard.
+//! Handling of the end of an attempt: checks every echoed field, updates the state of the leaf and
+//! decides the next step for the shard.
 
 use crate::context::Context;
 use crate::event::AttemptResult;
 use crate::leaf_table::LeafIndex;
-use crate::leaving::LeavingSign;
+use crate::leaving::LeavingSignal;
 use crate::query::{Attempt, AttemptState, Query};
 use crate::shard_progress::{LastEnd, ShardPhase, TriedState};
 use crate::timers::Timer;
@@ -14,40 +14,40 @@
 
 /// What an attempt that ended without an answer means for its shard.
 #[derive(Debug, Clone, Copy)]
-struct Ending {
+struct NoAnswer {
     /// Whether the attempt certainly did not run.
     certainly_not_run: bool,
-    /// What the leaf is still good for.
-    leaf: TriedState,
-    /// What the next attempt costs.
-    next: LastEnd,
+    /// Whether the leaf may be tried again for the shard.
+    tried_state: TriedState,
+    /// How the attempt ended, which decides whether the next one needs the retry budget.
+    last_end: LastEnd,
     /// Reason to report if nothing is left to try.
     reason: MissingReason,
     /// Whether another attempt can be useful.
-    may_follow: bool,
+    may_retry: bool,
 }
 
-const FAILED: Ending = Ending {
+const FAILED: NoAnswer = NoAnswer {
     certainly_not_run: false,
-    leaf: TriedState::MayTryAgain,
-    next: LastEnd::NeedsBudget,
+    tried_state: TriedState::Retryable,
+    last_end: LastEnd::NeedsBudget,
     reason: MissingReason::Failed,
-    may_follow: true,
+    may_retry: true,
 };
 
-const NOT_SENT: Ending = Ending {
+const NOT_SENT: NoAnswer = NoAnswer {
     certainly_not_run: true,
-    next: LastEnd::Redirected,
+    last_end: LastEnd::Redirected,
     ..FAILED
 };
 
-/// No later attempt can be in time either.
-const EXPIRED: Ending = Ending {
+/// The deadline or the expiry has passed, so a later attempt cannot be in time either.
+const EXPIRED: NoAnswer = NoAnswer {
     certainly_not_run: true,
-    leaf: TriedState::Excluded,
-    next: LastEnd::NeedsBudget,
+    tried_state: TriedState::Excluded,
+    last_end: LastEnd::NeedsBudget,
     reason: MissingReason::DeadlineExceeded,
-    may_follow: false,
+    may_retry: false,
 };
 
 impl Query {
@@ -72,7 +72,7 @@
             AttemptState::Cancelled => {
                 context.counters.answers_late += 1;
                 let leaf = attempt.leaf;
-                return learn_from_late_end(now, context, leaf, self.id, id, &result);
+                return record_late_end(now, context, leaf, self.id, id, &result);
             }
             AttemptState::Running => attempt.state = AttemptState::Ended,
         }
@@ -84,22 +84,22 @@
                 self.on_answer(now, context, attempt, answer);
             }
             AttemptResult::Refused(refusal) if self.is_refusal_of(context, id, &refusal) => {
-                let ending = self.on_refusal(now, context, attempt, &refusal);
-                self.on_no_answer(now, context, attempt, ending);
+                let no_answer = self.on_refusal(now, context, attempt, &refusal);
+                self.on_no_answer(now, context, attempt, no_answer);
             }
             AttemptResult::Expired => {
                 self.on_no_answer(now, context, attempt, EXPIRED);
             }
             AttemptResult::NotSent => {
                 context.counters.attempts_not_sent += 1;
-                learn_not_sent(now, context, attempt.leaf);
+                record_unsent_attempt(now, context, attempt.leaf);
                 self.on_no_answer(now, context, attempt, NOT_SENT);
             }
             other => {
                 let mismatched = !matches!(other, AttemptResult::Failed);
                 context.counters.answers_mismatched += u64::from(mismatched);
                 context.counters.attempts_failed += 1;
-                learn_failed(now, context, attempt);
+                record_failed_attempt(now, context, attempt);
                 self.on_no_answer(now, context, attempt, FAILED);
             }
         }
@@ -132,12 +132,12 @@
         attempt: Attempt,
         answer: LeafAnswer,
     ) {
-        learn_answer(now, context, attempt, &answer);
+        record_answer(now, context, attempt, &answer);
         self.cancel_other_attempts(now, context, attempt.position);
         self.settle(attempt.position, ShardPhase::Answered(answer.result));
     }
 
-    /// Ends the hedges that lost against an answer.
+    /// Cancels the other attempts of a shard that has been answered.
     fn cancel_other_attempts(&mut self, now: Moment, context: &mut Context, position: usize) {
         if self.shards[position].running == 0 {
             return;
@@ -154,21 +154,21 @@
         now: Moment,
         context: &mut Context,
         attempt: Attempt,
-        ending: Ending,
+        no_answer: NoAnswer,
     ) {
-        self.certainly_not_run += u32::from(ending.certainly_not_run);
-        self.result_unknown |= !ending.certainly_not_run;
-        let may_follow = ending.may_follow
+        self.certainly_not_run += u32::from(no_answer.certainly_not_run);
+        self.result_unknown |= !no_answer.certainly_not_run;
+        let may_retry = no_answer.may_retry
             && context.tuning.retries
-            && (self.request.is_repeatable() || ending.certainly_not_run);
+            && (self.request.is_repeatable() || no_answer.certainly_not_run);
         let shard = &mut self.shards[attempt.position];
-        shard.set_tried(attempt.leaf, ending.leaf);
-        shard.last_end = ending.next;
-        shard.reason = ending.reason;
+        shard.set_tried(attempt.leaf, no_answer.tried_state);
+        shard.last_end = no_answer.last_end;
+        shard.reason = no_answer.reason;
         if shard.running > 0 {
             return;
         }
-        if may_follow {
+        if may_retry {
             self.dispatch(now, context, attempt.position);
         } else {
             self.give_up(attempt.position);
@@ -181,25 +181,25 @@
         context: &mut Context,
         attempt: Attempt,
         refusal: &LeafRefusal,
-    ) -> Ending {
+    ) -> NoAnswer {
         if let Some(state) = context.leafs.get_mut(attempt.leaf) {
             state.on_reply(now);
         }
-        context.note_in_band_load(now, attempt.leaf, &refusal.load);
+        context.record_in_band_load(now, attempt.leaf, &refusal.load);
         match refusal.reason {
             RefusalReason::Overloaded => self.on_overloaded(now, context, attempt.leaf, refusal),
             RefusalReason::Draining => {
                 context.counters.refused_draining += 1;
-                context.note_leaving(now, attempt.leaf, LeavingSign::InBand);
-                not_held(MissingReason::NoReplica)
+                context.record_leaving(now, attempt.leaf, LeavingSignal::InBand);
+                redirect(MissingReason::NoReplica)
             }
             RefusalReason::SnapshotNotHeld | RefusalReason::ShardNotHeld => {
                 self.on_not_held(now, context, attempt, refusal.reason)
             }
             RefusalReason::Expired => {
                 context.counters.refused_expired += 1;
-                Ending {
-                    may_follow: self.request.is_repeatable(),
+                NoAnswer {
+                    may_retry: self.request.is_repeatable(),
                     ..EXPIRED
                 }
             }
@@ -212,16 +212,16 @@
         context: &mut Context,
         leaf: LeafIndex,
         refusal: &LeafRefusal,
-    ) -> Ending {
+    ) -> NoAnswer {
         context.counters.refused_overloaded += 1;
-        let asked = refusal.retry_after_millis.map(Duration::from_millis);
-        self.retry_hint = self.retry_hint.max(asked);
+        let requested_pause = refusal.retry_after_millis.map(Duration::from_millis);
+        self.retry_hint = self.retry_hint.max(requested_pause);
         let adaptive = context.tuning.adaptive_limit;
         if let Some(state) = context.leafs.get_mut(leaf) {
-            let until = state.limit.on_overload(now, asked, adaptive);
+            let until = state.limit.on_overload(now, requested_pause, adaptive);
             context.timers.schedule(until, Timer::Leaf(leaf));
         }
-        Ending {
+        NoAnswer {
             certainly_not_run: true,
             reason: MissingReason::Overloaded,
             ..FAILED
@@ -234,31 +234,31 @@
         context: &mut Context,
         attempt: Attempt,
         reason: RefusalReason,
-    ) -> Ending {
+    ) -> NoAnswer {
         context.counters.refused_not_held += 1;
         let version = self.snapshot.version;
         if reason == RefusalReason::ShardNotHeld {
             let shard = &self.entry(attempt.position).shard;
-            context.note_shard_not_held(now, attempt.leaf, version, shard);
+            context.record_shard_not_held(now, attempt.leaf, version, shard);
         } else {
-            context.note_snapshot_not_held(now, attempt.leaf, version);
+            context.record_snapshot_not_held(now, attempt.leaf, version);
         }
-        not_held(MissingReason::SnapshotGone)
+        redirect(MissingReason::SnapshotGone)
     }
 }
 
-fn not_held(reason: MissingReason) -> Ending {
-    Ending {
+fn redirect(reason: MissingReason) -> NoAnswer {
+    NoAnswer {
         certainly_not_run: true,
-        leaf: TriedState::Excluded,
-        next: LastEnd::Redirected,
+        tried_state: TriedState::Excluded,
+        last_end: LastEnd::Redirected,
         reason,
-        may_follow: true,
+        may_retry: true,
     }
 }
 
-/// Learns what an attempt that had been abandoned still tells about its leaf.
-pub(crate) fn learn_from_late_end(
+/// Updates the state of the leaf from the end of an attempt that had been cancelled.
+pub(crate) fn record_late_end(
     now: Moment,
     context: &mut Context,
     leaf: LeafIndex,
@@ -272,12 +272,12 @@
                 && answer.attempt == attempt
                 && is_own_root(context, &answer.root) =>
         {
-            context.note_in_band_load(now, leaf, &answer.load);
+            context.record_in_band_load(now, leaf, &answer.load);
         }
         AttemptResult::Refused(refusal) if refusal_matches(context, query, attempt, refusal) => {
-            context.note_in_band_load(now, leaf, &refusal.load);
+            context.record_in_band_load(now, leaf, &refusal.load);
             if refusal.reason == RefusalReason::Draining {
-                context.note_leaving(now, leaf, LeavingSign::InBand);
+                context.record_leaving(now, leaf, LeavingSignal::InBand);
             }
         }
         _ => {}
@@ -314,7 +314,7 @@
     name.is_none_or(|name| name == echoed)
 }
 
-fn learn_answer(now: Moment, context: &mut Context, attempt: Attempt, answer: &LeafAnswer) {
+fn record_answer(now: Moment, context: &mut Context, attempt: Attempt, answer: &LeafAnswer) {
     let latency = now.since(attempt.sent_at);
     context.hedge_delay.record(now, latency);
     let mut belief_changed = false;
@@ -325,23 +325,23 @@
         belief_changed = state.snapshots.on_answer(now, answer.snapshot);
     }
     if belief_changed {
-        context.leafs.touch();
+        context.leafs.advance_epoch();
     }
-    context.note_in_band_load(now, attempt.leaf, &answer.load);
+    context.record_in_band_load(now, attempt.leaf, &answer.load);
     context.eject_stragglers(now);
 }
 
-fn learn_failed(now: Moment, context: &mut Context, attempt: Attempt) {
+fn record_failed_attempt(now: Moment, context: &mut Context, attempt: Attempt) {
     if let Some(state) = context.leafs.get_mut(attempt.leaf) {
         let elapsed = now.since(attempt.sent_at);
         state.latency.record_at_least(now, elapsed);
     }
-    context.note_failure(now, attempt.leaf);
+    context.record_failure(now, attempt.leaf);
 }
 
-fn learn_not_sent(now: Moment, context: &mut Context, leaf: LeafIndex) {
+fn record_unsent_attempt(now: Moment, context: &mut Context, leaf: LeafIndex) {
     if let Some(state) = context.leafs.get_mut(leaf) {
         state.leaving.on_unreachable();
     }
-    context.note_failure(now, leaf);
+    context.record_failure(now, leaf);
 }
--- a/crates/tansylead-query/src/context.rs
+++ b/crates/tansylead-query/src/context.rs
@@ -1,5 +1,5 @@
-//! What all queries of one engine share: leafs, timers, budget, counters and the actions being
-//! collected. Queries never touch each other; they meet only here.
+//! State that all queries of one engine share: leafs, timers, retry budget, counters and the actions
+//! being collected. Queries interact only through it.
 
 use crate::admission::Admission;
 use crate::counters::EngineCounters;
@@ -16,13 +16,13 @@
 use std::time::Duration;
 use tansylead_types::{AttemptId, Moment, QueryId, ServicePolicy, SnapshotVersion};
 
-/// Answers "when to come back" are spread over this share above the computed time.
+/// `retry_after` is increased by a random fraction of up to this much.
 const RETRY_AFTER_JITTER: f64 = 0.25;
 
 /// A slot of a cancelled attempt that the leaf may still be using.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HeldSlot {
-    /// Leaf.
+    /// Leaf that the attempt was sent to.
     pub(crate) leaf: LeafIndex,
     /// Snapshot that the attempt asked for.
     pub(crate) snapshot: SnapshotVersion,
@@ -32,15 +32,15 @@
 /// State shared by the queries of one engine.
 #[derive(Debug)]
 pub(crate) struct Context {
-    /// Mechanisms and sizes.
+    /// Enabled mechanisms and their parameters.
     pub(crate) tuning: EngineTuning,
     /// Policy in force.
     pub(crate) policy: ServicePolicy,
-    /// Name of this root as leafs echo it; unchecked if none.
+    /// Name that leafs must echo for this root; not checked if none.
     pub(crate) root_name: Option<String>,
-    /// Leafs.
+    /// Runtime state of the leafs.
     pub(crate) leafs: LeafTable,
-    /// Timers.
+    /// Pending timers and query deadlines.
     pub(crate) timers: Timers,
     /// Budget of extra attempts.
     pub(crate) budget: RetryBudget,
@@ -50,7 +50,7 @@
     pub(crate) admission: Admission,
     /// Counters.
     pub(crate) counters: EngineCounters,
-    /// Random choices.
+    /// Source of random choices.
     pub(crate) random: StdRng,
     /// Actions of the event being handled.
     pub(crate) actions: Vec<RootAction>,
@@ -64,7 +64,7 @@
 }
 
 impl Context {
-    /// Nothing configured.
+    /// A context without leafs and with the default policy.
     pub(crate) fn new(seed: u64, tuning: EngineTuning) -> Self {
         let policy = ServicePolicy::default();
         let mut context = Self {
@@ -96,14 +96,14 @@
         self.policy = policy;
     }
 
-    /// Counts an attempt as running.
+    /// Occupies a slot of the leaf.
     pub(crate) fn take_slot(&mut self, now: Moment, leaf: LeafIndex) {
         if let Some(state) = self.leafs.get_mut(leaf) {
             state.take_slot(now);
         }
     }
 
-    /// Counts an attempt as over and marks its leaf for [`Context::pop_freed`].
+    /// Frees a slot of the leaf and marks it for [`Context::pop_freed`].
     pub(crate) fn free_slot(&mut self, leaf: LeafIndex) {
         if let Some(state) = self.leafs.get_mut(leaf) {
             state.free_slot();
@@ -111,7 +111,8 @@
         self.freed.push(leaf);
     }
 
-    /// Keeps the slot of a cancelled attempt until its end is reported or the hold has passed.
+    /// Keeps the slot of a cancelled attempt until its end is reported or the hold time
+    /// has passed.
     pub(crate) fn hold_slot(
         &mut self,
         now: Moment,
@@ -146,31 +147,31 @@
         Some(held)
     }
 
-    /// Marks a leaf whose waiting shards may now find room.
+    /// Marks a leaf that may now have room for its waiting shards.
     pub(crate) fn mark_freed(&mut self, leaf: LeafIndex) {
         self.freed.push(leaf);
     }
 
-    /// Next leaf whose waiting shards may find room.
+    /// Next leaf that may have room for its waiting shards.
     pub(crate) fn pop_freed(&mut self) -> Option<LeafIndex> {
         self.freed.pop()
     }
 
-    /// Next waiting shard whose leaf may no longer be the right one.
+    /// Next waiting shard that must choose its leafs again.
     pub(crate) fn pop_displaced(&mut self) -> Option<Waiter> {
         self.displaced.pop()
     }
 
-    /// Makes every shard that waits for the leaf look again.
+    /// Makes every shard that waits for the leaf choose its leafs again.
     pub(crate) fn displace_waiters(&mut self, leaf: LeafIndex) {
         if let Some(state) = self.leafs.get(leaf) {
             self.displaced.extend(state.waiting.iter().copied());
         }
     }
 
-    /// Expected time until the waiting shards, and that many more, have got their slots.
-    pub(crate) fn expected_wait(&self, now: Moment, more: usize) -> Duration {
-        let waiting = self.waiting_shards + more;
+    /// Expected time until all waiting shards and `additional` others have got slots.
+    pub(crate) fn expected_wait(&self, now: Moment, additional: usize) -> Duration {
+        let waiting = self.waiting_shards + additional;
         if waiting == 0 {
             return Duration::ZERO;
         }
@@ -179,7 +180,7 @@
         self.leafs.typical_latency().mul_f64(rounds)
     }
 
-    /// Spreads a time to come back, so that callers do not come back together.
+    /// Adds jitter to a `retry_after`, so that callers do not retry all at once.
     pub(crate) fn jittered(&mut self, duration: Duration) -> Duration {
         let factor = 1.0 + self.random.random_range(0.0..RETRY_AFTER_JITTER);
         duration.mul_f64(factor)
--- a/crates/tansylead-query/src/dispatch.rs
+++ b/crates/tansylead-query/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Sending attempts: which replicas may serve a shard, which of them has room, what an attempt
-//! costs from the retry budget, and waiting for a slot.
+//! Dispatch of attempts: which replicas may serve a shard, which of them have room, whether the
+//! attempt is charged to the retry budget, and waiting for a slot.
 
 use crate::context::Context;
 use crate::event::{RootAction, SendAttempt};
@@ -15,13 +15,13 @@
 pub(crate) enum AttemptKind {
     /// The first for the shard.
     First,
-    /// The first for the shard after the query started over.
+    /// The first for the shard after the query restarted.
     Restart,
     /// Follows one that certainly did not run, on a replica not tried before.
     Redirect,
     /// Follows one that may have run or was shed.
     Retry,
-    /// Runs beside a slow one.
+    /// Runs in parallel with a slow one.
     Hedge,
 }
 
@@ -30,22 +30,23 @@
 pub(crate) struct Candidates {
     /// Leafs of the class, with or without room.
     pub(crate) leafs: Vec<LeafIndex>,
-    /// What they have in common.
+    /// Class that they all belong to.
     pub(crate) class: CandidateClass,
 }
 
 /// Classes of replicas, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CandidateClass {
-    /// Not tried for the shard, and expected to answer.
+    /// Not tried for the shard yet, and expected to answer.
     GoodStanding,
-    /// Not tried for the shard, but ejected, unreachable, or without the snapshot by its health.
+    /// Not tried for the shard, but ejected, unreachable, or without the snapshot by its health
+    /// report.
     LastResort,
     /// Tried before.
     TriedBefore,
 }
 
-/// What comes before the next attempt.
+/// Backoff before the next attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Backoff {
     None,
@@ -54,7 +55,7 @@
 }
 
 impl Query {
-    /// Sends an attempt for a shard, or makes it wait for a slot, or gives it up.
+    /// Sends an attempt for a shard, lets the shard back off or wait for a slot, or gives it up.
     pub(crate) fn dispatch(&mut self, now: Moment, context: &mut Context, position: usize) {
         debug_assert_eq!(self.shards[position].running, 0);
         if self.shards[position].attempts >= context.tuning.maximum_attempts_per_shard {
@@ -89,7 +90,7 @@
         let shard = &self.shards[position];
         let entry = self.entry(position);
         let version = self.snapshot.version;
-        let (mut good, mut last_resort, mut again) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut good, mut last_resort, mut tried_before) = (Vec::new(), Vec::new(), Vec::new());
         for index in &entry.replicas {
             let Some(leaf) = context.leafs.get(*index) else {
                 continue;
@@ -99,12 +100,12 @@
             }
             match shard.tried_state(*index) {
                 None if leaf.is_last_resort(now)
-                    || !leaf.surely_holds(now, version, &entry.shard) =>
+                    || !leaf.likely_holds(now, version, &entry.shard) =>
                 {
                     last_resort.push(*index);
                 }
                 None => good.push(*index),
-                Some(TriedState::MayTryAgain) => again.push(*index),
+                Some(TriedState::Retryable) => tried_before.push(*index),
                 Some(TriedState::Running | TriedState::Excluded) => {}
             }
         }
@@ -113,7 +114,7 @@
         } else if !last_resort.is_empty() {
             (last_resort, CandidateClass::LastResort)
         } else {
-            (again, CandidateClass::TriedBefore)
+            (tried_before, CandidateClass::TriedBefore)
         };
         Candidates { leafs, class }
     }
@@ -160,7 +161,7 @@
         }));
     }
 
-    /// Dispatches a shard that waited, because a slot is free or its leafs changed.
+    /// Dispatches a shard that waited, because a slot is free or its replicas changed.
     pub(crate) fn dispatch_waiting(&mut self, now: Moment, context: &mut Context, position: usize) {
         let waiting = self
             .shards
@@ -173,7 +174,7 @@
         self.dispatch(now, context, position);
     }
 
-    /// Takes a shard out of all waiting sets.
+    /// Removes a shard from the waiting sets of all leafs.
     pub(crate) fn stop_waiting(&mut self, context: &mut Context, position: usize) {
         let waiter = self.waiter(position);
         let shard = &mut self.shards[position];
@@ -189,7 +190,7 @@
         context.waiting_shards -= 1;
     }
 
-    /// Abandons an attempt if it is in flight.
+    /// Cancels an attempt if it is in flight.
     pub(crate) fn cancel_attempt(&mut self, now: Moment, context: &mut Context, index: usize) {
         let attempt = &mut self.attempts[index];
         if attempt.state != AttemptState::Running {
@@ -213,7 +214,7 @@
         });
     }
 
-    /// Gives a shard up for the reason noted last.
+    /// Gives a shard up for its most recently recorded reason.
     pub(crate) fn give_up(&mut self, position: usize) {
         let reason = self.shards[position].reason;
         let lost = matches!(
--- a/crates/tansylead-query/src/ejection.rs
+++ b/crates/tansylead-query/src/ejection.rs
@@ -1,23 +1,24 @@
-//! Ejection of one leaf: for a while it is used only where no other replica is left.
+//! Ejection of one leaf: for a limited time it is used only where no other replica is left.
 //!
-//! Stragglers are found by comparison ([`is_straggler`]); their share is bounded by the leaf
-//! table. A leaf whose attempts fail in a row is ejected without regard to the share. When an
-//! ejection ends the leaf is probed with slow start; another one lasts twice as long.
+//! Stragglers are found by comparison with the other leafs ([`is_straggler`]); the leaf table bounds
+//! the fraction of leafs ejected as stragglers. A leaf with consecutive failures is ejected whatever
+//! that fraction is. When an ejection ends the leaf is probed with slow start; the next ejection lasts
+//! twice as long.
 
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Failures in a row (connection, error, nothing sent) that eject a leaf.
-const FAILURES_TO_EJECT: u32 = 3;
-/// First ejection.
-const SHORTEST_EJECTION: Duration = Duration::from_secs(1);
-/// Longest ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(30);
-/// A leaf that stays in service this long after an ejection starts over at the shortest.
-const FORGIVE_AFTER: Duration = Duration::from_secs(60);
+/// Consecutive failures (connection, error, nothing sent) that eject a leaf.
+const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
+/// Duration of the first ejection.
+const MIN_EJECTION: Duration = Duration::from_secs(1);
+/// Upper bound on the duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(30);
+/// After this long in service the next ejection of a leaf lasts [`MIN_EJECTION`] again.
+const EJECTION_COUNT_RESET_AFTER: Duration = Duration::from_secs(60);
 /// A straggler's latency is at least this multiple of the median of all leafs.
 const STRAGGLER_FACTOR: f64 = 3.0;
-/// And at least this much above it.
+/// A straggler's latency is also at least this much above the median.
 const STRAGGLER_MARGIN: Duration = Duration::from_millis(5);
 
 /// Why a leaf is ejected.
@@ -25,7 +26,7 @@
 pub(crate) enum EjectionCause {
     /// Much slower than the others.
     Straggler,
-    /// Attempts failed in a row.
+    /// Consecutive attempts failed.
     Failures,
 }
 
@@ -39,8 +40,8 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EjectionState {
     ejected: Option<Ejected>,
-    failures: u32,
-    streak: u32,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     returned_at: Option<Moment>,
 }
 
@@ -56,27 +57,29 @@
             .is_some_and(|ejected| ejected.cause == EjectionCause::Failures && now < ejected.until)
     }
 
-    /// Notes an answer or a refusal: the leaf lives.
+    /// Records an answer or a refusal, which shows that the leaf is alive.
     pub(crate) fn on_reply(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// Notes a failed attempt. Returns whether the leaf must now be ejected.
+    /// Records a failed attempt. Returns whether the leaf must now be ejected.
     pub(crate) fn on_failure(&mut self, now: Moment) -> bool {
-        self.failures += 1;
-        self.failures >= FAILURES_TO_EJECT && !self.is_failing(now)
+        self.consecutive_failures += 1;
+        self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT && !self.is_failing(now)
     }
 
     /// Ejects the leaf; returns when the ejection ends.
     pub(crate) fn eject(&mut self, now: Moment, cause: EjectionCause) -> Moment {
-        let forgiven = self
+        let resets_count = self
             .returned_at
-            .is_none_or(|at| now.since(at) >= FORGIVE_AFTER);
-        self.streak = if forgiven { 0 } else { self.streak + 1 };
-        let factor = 2_u32.saturating_pow(self.streak.min(16));
-        let duration = SHORTEST_EJECTION
-            .saturating_mul(factor)
-            .min(LONGEST_EJECTION);
+            .is_none_or(|at| now.since(at) >= EJECTION_COUNT_RESET_AFTER);
+        self.consecutive_ejections = if resets_count {
+            0
+        } else {
+            self.consecutive_ejections + 1
+        };
+        let factor = 2_u32.saturating_pow(self.consecutive_ejections.min(16));
+        let duration = MIN_EJECTION.saturating_mul(factor).min(MAX_EJECTION);
         let until = now + duration;
         self.ejected = Some(Ejected { until, cause });
         until
@@ -87,15 +90,15 @@
         let due = self.ejected.is_some_and(|ejected| ejected.until <= now);
         if due {
             self.ejected = None;
-            // One more failure ejects again.
-            self.failures = FAILURES_TO_EJECT - 1;
+            // The next failure ejects the leaf again.
+            self.consecutive_failures = CONSECUTIVE_FAILURES_TO_EJECT - 1;
             self.returned_at = Some(now);
         }
         due
     }
 }
 
-/// Whether a latency is that of a straggler.
+/// Whether a leaf with this latency is a straggler.
 pub(crate) fn is_straggler(latency: Duration, median: Duration) -> bool {
     let above_factor = latency.as_secs_f64() >= median.as_secs_f64() * STRAGGLER_FACTOR;
     above_factor && latency >= median + STRAGGLER_MARGIN
--- a/crates/tansylead-query/src/engine.rs
+++ b/crates/tansylead-query/src/engine.rs
@@ -1,16 +1,17 @@
-//! The engine: runtime state of the leafs of one service in one place and all queries in progress.
+//! The root engine: state of the leafs of one service in one place and of all queries in progress.
 //!
-//! Every event first ends the queries whose deadline has passed, so that nothing is sent for them
-//! however late the event comes. Then the event is handled, and only then the timers and waiting
-//! shards that may send attempts: they must see what the event says about leafs.
+//! Each event is handled in three steps. Queries whose deadline has passed are ended first, so that
+//! nothing is sent for them however late the event arrives. Then the event itself is handled. Timers
+//! and waiting shards, which may send attempts, come last because they must see what the event says
+//! about leafs.
 
-use crate::attempt_end::{is_snapshot_refusal, learn_from_late_end};
+use crate::attempt_end::{is_snapshot_refusal, record_late_end};
 use crate::context::Context;
 use crate::counters::EngineCounters;
 use crate::event::{AttemptResult, RateShare, RootAction, RootEvent, StartQuery};
 use crate::finish::{RETRY_AFTER_WITHOUT_REPLICAS, refuse};
 use crate::leaf_table::LeafIndex;
-use crate::leaving::LeavingSign;
+use crate::leaving::LeavingSignal;
 use crate::query::Query;
 use crate::snapshot_choice::{SnapshotCatalog, SnapshotChoice};
 use crate::status::{EngineStatus, leaf_statuses};
@@ -21,7 +22,7 @@
 use tansylead_types::leaf::LeafHealth;
 use tansylead_types::{AttemptId, LeafId, Moment, QueryId, ServiceDefinition, ServicePlacement};
 
-/// Told to callers whose deadline had passed on arrival.
+/// `retry_after` for queries whose deadline had passed on arrival.
 const RETRY_AFTER_LATE_ARRIVAL: Duration = Duration::from_millis(100);
 
 /// State machine of one root for one (service, place).
@@ -33,12 +34,12 @@
 }
 
 impl RootEngine {
-    /// An engine without leafs; `seed` feeds its random choices.
+    /// An engine without leafs; `seed` seeds its random choices.
     pub fn new(seed: u64) -> Self {
         Self::with_tuning(seed, EngineTuning::default())
     }
 
-    /// An engine without leafs and with other mechanisms or sizes than the default.
+    /// An engine without leafs and with the given tuning.
     pub fn with_tuning(seed: u64, tuning: EngineTuning) -> Self {
         Self {
             context: Context::new(seed, tuning),
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Sets the name that leafs must echo as `root`. The transport fills `LeafRequest::root` with
-    /// the same text. While no name is set the echo is not checked here.
+    /// Sets the name that leafs must echo as `root`; the transport must put the same name into
+    /// `LeafRequest::root`. The echo is not checked until a name is set.
     pub fn set_root_name(&mut self, name: impl Into<String>) {
         self.context.root_name = Some(name.into());
     }
@@ -60,7 +61,7 @@
         definition: &ServiceDefinition,
         placement: &ServicePlacement,
     ) -> Vec<RootAction> {
-        self.end_expired(now);
+        self.finish_expired(now);
         self.context.set_policy(definition.policy.clone());
         let slow_start = self.context.tuning.slow_start;
         let changes = self
@@ -76,30 +77,30 @@
         for leaf in changes.displaced {
             self.context.displace_waiters(leaf);
         }
-        self.offer_all_leafs();
+        self.mark_all_leafs_freed();
         self.take_actions(now)
     }
 
-    /// Sets this root's share of the table's limit.
+    /// Sets this root's share of the rate limit in the table.
     pub fn set_rate_share(&mut self, now: Moment, share: RateShare) {
         self.context.admission.set_share(now, share);
     }
 
-    /// Sets how many roots, this one included, divide the slots of each leaf.
+    /// Sets how many roots, this one included, share the slots of each leaf.
     pub fn set_leaf_share(&mut self, now: Moment, roots: u32) -> Vec<RootAction> {
-        self.end_expired(now);
+        self.finish_expired(now);
         self.context.leafs.set_roots(roots);
-        self.offer_all_leafs();
+        self.mark_all_leafs_freed();
         self.take_actions(now)
     }
 
-    /// Advances the machine.
+    /// Handles an event and returns the actions to carry out.
     pub fn on_event(&mut self, now: Moment, event: RootEvent) -> Vec<RootAction> {
-        // Before the deadlines: a caller that went away gets no answer, also when its deadline is due.
+        // Before the deadlines: a caller that disconnected gets no answer even if its deadline is due.
         if let RootEvent::CallerGone(query) = event {
             self.on_caller_gone(now, query);
         }
-        self.end_expired(now);
+        self.finish_expired(now);
         match event {
             RootEvent::Start(start) => self.on_start(now, *start),
             RootEvent::AttemptEnded {
@@ -114,7 +115,7 @@
         self.take_actions(now)
     }
 
-    /// When the engine wants [`RootEvent::Wakeup`] at the latest.
+    /// Latest time at which the engine needs [`RootEvent::Wakeup`].
     pub fn next_wakeup(&self) -> Option<Moment> {
         self.context.timers.next()
     }
@@ -124,7 +125,7 @@
         self.context.counters
     }
 
-    /// A view for operators and metrics.
+    /// Status for operators and metrics.
     pub fn status(&self, now: Moment) -> EngineStatus {
         let leafs = &self.context.leafs;
         let choice = self.catalog.choose_among(now, leafs, None, &[]);
@@ -134,7 +135,8 @@
             backing_off_shards: self.context.backing_off_shards,
             snapshots: self.catalog.versions(),
             snapshot_in_use: choice.as_ref().map(|choice| choice.snapshot.version),
-            whole: choice.is_some_and(|choice| choice.whole),
+            every_shard_has_a_replica: choice
+                .is_some_and(|choice| choice.every_shard_has_a_replica),
             hedge_delay: self.context.hedge_delay.last_delay(),
             retry_budget: self.context.budget.balance(),
             leafs: leaf_statuses(&self.context, now),
@@ -188,7 +190,7 @@
         Ok(choice)
     }
 
-    /// Refuses early what would not get its slots in time.
+    /// Refuses a query that would not get its slots before its deadline.
     fn check_capacity(
         &mut self,
         now: Moment,
@@ -230,11 +232,11 @@
         let held = self.context.release_held_slot(query, attempt);
         if let Some(held) = held {
             self.context.counters.answers_late += 1;
-            learn_from_late_end(now, &mut self.context, held.leaf, query, attempt, &result);
+            record_late_end(now, &mut self.context, held.leaf, query, attempt, &result);
             let refused = is_snapshot_refusal(&self.context, query, attempt, &result);
             if refused {
                 self.context
-                    .note_snapshot_not_held(now, held.leaf, held.snapshot);
+                    .record_snapshot_not_held(now, held.leaf, held.snapshot);
             }
         } else if self.queries.contains_key(&query) {
             self.advance(now, query, |query, context| {
@@ -252,32 +254,36 @@
         match report {
             Some(report) if report.healthy => self.on_healthy(now, index, &report),
             Some(report) => {
-                self.context.note_failed_poll(index);
+                self.context.record_failed_poll(index);
                 if report.load.draining {
-                    self.context.note_leaving(now, index, LeavingSign::Polled);
+                    self.context
+                        .record_leaving(now, index, LeavingSignal::Polled);
                 }
             }
             None => {
-                self.context.note_failed_poll(index);
-                self.context.note_gone(index);
+                self.context.record_failed_poll(index);
+                self.context.record_unreachable(index);
             }
         }
     }
 
     fn on_healthy(&mut self, now: Moment, index: LeafIndex, report: &LeafHealth) {
-        self.context.note_snapshots(index, &report.snapshots);
-        self.context.note_successful_poll(now, index, &report.load);
+        self.context
+            .record_reported_snapshots(index, &report.snapshots);
+        self.context
+            .record_successful_poll(now, index, &report.load);
         if report.load.draining {
-            self.context.note_leaving(now, index, LeavingSign::Polled);
+            self.context
+                .record_leaving(now, index, LeavingSignal::Polled);
         } else {
-            self.context.note_not_draining(now, index);
+            self.context.record_not_draining(now, index);
         }
     }
 
     fn on_leaving(&mut self, now: Moment, leaf: &LeafId) {
         if let Some(index) = self.context.leafs.index(leaf) {
             self.context
-                .note_leaving(now, index, LeavingSign::Announced);
+                .record_leaving(now, index, LeavingSignal::Announced);
         }
     }
 
@@ -290,8 +296,8 @@
         query.cancel_everything(now, &mut self.context);
     }
 
-    /// Ends queries whose deadline has passed. Sends nothing.
-    fn end_expired(&mut self, now: Moment) {
+    /// Ends queries whose deadline has passed, without sending attempts.
+    fn finish_expired(&mut self, now: Moment) {
         while let Some(query) = self.context.timers.pop_due_deadline(now) {
             self.finish(now, query);
         }
@@ -316,7 +322,7 @@
         }
     }
 
-    /// Changes one query, then restarts, ends or goes on with it.
+    /// Applies a change to one query, then restarts it, finishes it or schedules its hedges.
     fn advance(&mut self, now: Moment, id: QueryId, change: impl FnOnce(&mut Query, &mut Context)) {
         let Some(query) = self.queries.get_mut(&id) else {
             return;
@@ -337,15 +343,14 @@
         }
     }
 
-    fn offer_all_leafs(&mut self) {
+    fn mark_all_leafs_freed(&mut self) {
         let leafs: Vec<LeafIndex> = self.context.leafs.iter().map(|(index, _)| index).collect();
         for leaf in leafs {
             self.context.mark_freed(leaf);
         }
     }
 
-    /// Fires due timers, moves waiting shards on until nothing more can move, and hands the
-    /// actions out.
+    /// Fires due timers, dispatches waiting shards until none can proceed, and returns the actions.
     fn take_actions(&mut self, now: Moment) -> Vec<RootAction> {
         self.fire_timers(now);
         loop {
--- a/crates/tansylead-query/src/leaf_signs.rs
+++ b/crates/tansylead-query/src/leaf_signals.rs
@@ -1,53 +1,53 @@
-//! Signs about leafs that reach the engine: leaving, failures, polls, load.
+//! Updates of leaf state from signals that reach the engine: leaving, failures, health polls, load.
 
 use crate::context::Context;
 use crate::ejection::EjectionCause;
 use crate::leaf_table::LeafIndex;
-use crate::leaving::LeavingSign;
+use crate::leaving::LeavingSignal;
 use crate::timers::Timer;
 use tansylead_types::leaf::LeafLoad;
 use tansylead_types::{Moment, ShardId, SnapshotVersion};
 
 impl Context {
-    /// Notes a sign that the leaf is leaving.
-    pub(crate) fn note_leaving(&mut self, now: Moment, leaf: LeafIndex, sign: LeavingSign) {
+    /// Records a signal that the leaf is leaving.
+    pub(crate) fn record_leaving(&mut self, now: Moment, leaf: LeafIndex, signal: LeavingSignal) {
         let Some(state) = self.leafs.get_mut(leaf) else {
             return;
         };
-        if state.leaving.on_sign(now, sign) {
-            log::info!("leaf {}: leaving ({sign:?})", state.id());
+        if state.leaving.on_signal(now, signal) {
+            log::info!("leaf {}: leaving ({signal:?})", state.id());
             self.counters.leafs_leaving += 1;
-            self.leafs.touch();
+            self.leafs.advance_epoch();
             self.displace_waiters(leaf);
         }
     }
 
-    /// Notes a health report that is not a drain mark.
-    pub(crate) fn note_not_draining(&mut self, now: Moment, leaf: LeafIndex) {
+    /// Records a health report without a drain mark.
+    pub(crate) fn record_not_draining(&mut self, now: Moment, leaf: LeafIndex) {
         let slow_start = self.tuning.slow_start;
         let Some(state) = self.leafs.get_mut(leaf) else {
             return;
         };
         if state.leaving.on_healthy_report(now) {
             log::info!("leaf {}: back in service", state.id());
-            state.begin_new_life(now, slow_start);
-            self.leafs.touch();
+            state.reset_for_new_process(now, slow_start);
+            self.leafs.advance_epoch();
             self.mark_freed(leaf);
         }
     }
 
-    /// Notes load figures and a drain mark that came in-band.
-    pub(crate) fn note_in_band_load(&mut self, now: Moment, leaf: LeafIndex, load: &LeafLoad) {
+    /// Records load figures and a drain mark that came in-band.
+    pub(crate) fn record_in_band_load(&mut self, now: Moment, leaf: LeafIndex, load: &LeafLoad) {
         if let Some(state) = self.leafs.get_mut(leaf) {
             state.on_load(now, load);
         }
         if load.draining {
-            self.note_leaving(now, leaf, LeavingSign::InBand);
+            self.record_leaving(now, leaf, LeavingSignal::InBand);
         }
     }
 
-    /// Notes that a poll failed or found the leaf unable to serve.
-    pub(crate) fn note_failed_poll(&mut self, leaf: LeafIndex) {
+    /// Records that a poll failed or found the leaf unable to serve.
+    pub(crate) fn record_failed_poll(&mut self, leaf: LeafIndex) {
         let Some(state) = self.leafs.get_mut(leaf) else {
             return;
         };
@@ -55,43 +55,47 @@
         state.on_failed_poll();
         if !was_unreachable && state.is_unreachable() {
             log::info!("leaf {}: polls fail", state.id());
-            self.leafs.touch();
+            self.leafs.advance_epoch();
             self.displace_waiters(leaf);
         }
     }
 
-    /// Notes that the leaf could not be reached at all.
-    pub(crate) fn note_gone(&mut self, leaf: LeafIndex) {
+    /// Records that the leaf could not be reached at all.
+    pub(crate) fn record_unreachable(&mut self, leaf: LeafIndex) {
         if let Some(state) = self.leafs.get_mut(leaf) {
             state.leaving.on_unreachable();
         }
     }
 
-    /// Notes a poll that found the leaf healthy.
-    pub(crate) fn note_successful_poll(&mut self, now: Moment, leaf: LeafIndex, load: &LeafLoad) {
+    /// Records a poll that found the leaf healthy.
+    pub(crate) fn record_successful_poll(&mut self, now: Moment, leaf: LeafIndex, load: &LeafLoad) {
         let Some(state) = self.leafs.get_mut(leaf) else {
             return;
         };
         state.on_load(now, load);
         if state.on_successful_poll() {
             log::info!("leaf {}: polls succeed again", state.id());
-            self.leafs.touch();
+            self.leafs.advance_epoch();
         }
     }
 
-    /// Notes the snapshots that a health report lists.
-    pub(crate) fn note_snapshots(&mut self, leaf: LeafIndex, snapshots: &[SnapshotVersion]) {
+    /// Records the snapshots that a health report lists.
+    pub(crate) fn record_reported_snapshots(
+        &mut self,
+        leaf: LeafIndex,
+        snapshots: &[SnapshotVersion],
+    ) {
         let Some(state) = self.leafs.get_mut(leaf) else {
             return;
         };
         if state.snapshots.on_report(snapshots) {
-            self.leafs.touch();
+            self.leafs.advance_epoch();
             self.displace_waiters(leaf);
         }
     }
 
-    /// Notes that the leaf refused because it does not hold the snapshot.
-    pub(crate) fn note_snapshot_not_held(
+    /// Records that the leaf refused because it does not hold the snapshot.
+    pub(crate) fn record_snapshot_not_held(
         &mut self,
         now: Moment,
         leaf: LeafIndex,
@@ -100,12 +104,12 @@
         if let Some(state) = self.leafs.get_mut(leaf) {
             state.snapshots.on_snapshot_not_held(now, version);
         }
-        self.leafs.touch();
+        self.leafs.advance_epoch();
         self.displace_waiters(leaf);
     }
 
-    /// Notes that the leaf refused because it does not hold the shard at the snapshot.
-    pub(crate) fn note_shard_not_held(
+    /// Records that the leaf refused because it does not hold the shard at the snapshot.
+    pub(crate) fn record_shard_not_held(
         &mut self,
         now: Moment,
         leaf: LeafIndex,
@@ -115,12 +119,12 @@
         if let Some(state) = self.leafs.get_mut(leaf) {
             state.snapshots.on_shard_not_held(now, version, shard);
         }
-        self.leafs.touch();
+        self.leafs.advance_epoch();
         self.displace_waiters(leaf);
     }
 
-    /// Notes that an attempt to the leaf failed or could not be sent.
-    pub(crate) fn note_failure(&mut self, now: Moment, leaf: LeafIndex) {
+    /// Records that an attempt to the leaf failed or could not be sent.
+    pub(crate) fn record_failure(&mut self, now: Moment, leaf: LeafIndex) {
         let Some(state) = self.leafs.get_mut(leaf) else {
             return;
         };
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Looks for stragglers when it is time, and ejects them.
+    /// Once a check period, finds stragglers and ejects them.
     pub(crate) fn eject_stragglers(&mut self, now: Moment) {
         let stragglers = self.leafs.find_stragglers(now);
         if !self.tuning.ejection {
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Ends a pause or an ejection of a leaf that is due.
+    /// Ends a pause or an ejection of a leaf if it is due.
     pub(crate) fn on_leaf_timer(&mut self, now: Moment, leaf: LeafIndex) {
         let slow_start = self.tuning.slow_start;
         let Some(state) = self.leafs.get_mut(leaf) else {
@@ -152,7 +156,7 @@
             if slow_start {
                 state.limit.begin_slow_start(now);
             }
-            self.leafs.touch();
+            self.leafs.advance_epoch();
         }
         self.mark_freed(leaf);
     }
--- a/crates/tansylead-query/src/leaf_state.rs
+++ b/crates/tansylead-query/src/leaf_state.rs
@@ -1,4 +1,4 @@
-//! What this root knows about one leaf, and the shards that wait for one of its slots.
+//! Runtime state of one leaf at this root, and the shards that wait for one of its slots.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::ejection::EjectionState;
@@ -10,19 +10,19 @@
 use tansylead_types::leaf::LeafLoad;
 use tansylead_types::{LeafDescriptor, LeafId, Moment, QueryId, ShardId, SnapshotVersion};
 
-/// Failed polls in a row after which a leaf counts as unreachable.
-const POLLS_TO_UNREACHABLE: u32 = 2;
-/// Latencies below this do not count, so that load decides among very fast leafs.
-const SHORTEST_LATENCY: Duration = Duration::from_micros(100);
-/// Load figures older than this no longer influence the choice of a replica.
+/// Consecutive failed polls after which a leaf counts as unreachable.
+const FAILED_POLLS_UNTIL_UNREACHABLE: u32 = 2;
+/// Lower latencies count as this one, so that load decides among very fast leafs.
+const MIN_LATENCY: Duration = Duration::from_micros(100);
+/// Load figures older than this are ignored in the choice of a replica.
 const LOAD_LIFETIME: Duration = Duration::from_millis(200);
 
-/// A shard of a query that waits for a slot, in order of deadline.
+/// A shard of a query that waits for a slot; ordered by deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Waiter {
     /// Deadline of the query.
     pub(crate) deadline: Moment,
-    /// Query.
+    /// Query that the shard belongs to.
     pub(crate) query: QueryId,
     /// Position of the shard in the query.
     pub(crate) position: usize,
@@ -39,21 +39,21 @@
 pub(crate) struct LeafState {
     /// Descriptor in force, or the last one if the leaf is no longer configured.
     pub(crate) descriptor: LeafDescriptor,
-    /// Whether the configuration in force lists the leaf.
+    /// Whether the current configuration lists the leaf.
     pub(crate) configured: bool,
     /// Attempts that count as running, cancelled ones included until they end.
     pub(crate) in_flight: u32,
-    /// Since when the leaf has work and has not replied.
+    /// Since when the leaf has had work without replying.
     silent_since: Moment,
-    /// Bound on `in_flight`.
+    /// Limit on `in_flight`.
     pub(crate) limit: ConcurrencyLimit,
     /// Average latency.
     pub(crate) latency: LatencyAverage,
-    /// Snapshots held.
+    /// Snapshots and shards that the leaf is believed to hold.
     pub(crate) snapshots: SnapshotBelief,
-    /// Leaving mark.
+    /// Whether the leaf is leaving.
     pub(crate) leaving: LeavingState,
-    /// Ejection.
+    /// Whether the leaf is ejected.
     pub(crate) ejection: EjectionState,
     /// Shards that wait for a slot of this leaf (and perhaps of other leafs).
     pub(crate) waiting: BTreeSet<Waiter>,
@@ -62,7 +62,7 @@
 }
 
 impl LeafState {
-    /// A warm leaf about which nothing is known.
+    /// A configured leaf that is not in slow start and has no history.
     pub(crate) fn new(descriptor: LeafDescriptor, slots: u32) -> Self {
         Self {
             descriptor,
@@ -80,18 +80,18 @@
         }
     }
 
-    /// Name.
+    /// Id of the leaf.
     pub(crate) fn id(&self) -> &LeafId {
         &self.descriptor.leaf
     }
 
-    /// Whether the leaf may get an attempt for the shard at the snapshot at all.
+    /// Whether an attempt for the shard at the snapshot may be sent to the leaf at all.
     pub(crate) fn may_serve(&self, now: Moment, version: SnapshotVersion, shard: &ShardId) -> bool {
         self.accepts_work() && self.snapshots.holding(now, version, shard) != Holding::NotHeld
     }
 
-    /// Whether nothing speaks against the leaf holding the shard at the snapshot.
-    pub(crate) fn surely_holds(
+    /// Whether there is no evidence that the leaf lacks the shard at the snapshot.
+    pub(crate) fn likely_holds(
         &self,
         now: Moment,
         version: SnapshotVersion,
@@ -115,9 +115,9 @@
         self.is_unreachable() || self.ejection.is_ejected(now)
     }
 
-    /// Whether polls failed in a row.
+    /// Whether enough consecutive polls failed.
     pub(crate) fn is_unreachable(&self) -> bool {
-        self.failed_polls >= POLLS_TO_UNREACHABLE
+        self.failed_polls >= FAILED_POLLS_UNTIL_UNREACHABLE
     }
 
     /// Whether another attempt may start now.
@@ -125,7 +125,7 @@
         self.in_flight < self.limit.limit(now) && !self.limit.is_paused(now)
     }
 
-    /// Counts one more attempt.
+    /// Counts one more attempt in flight.
     pub(crate) fn take_slot(&mut self, now: Moment) {
         if self.in_flight == 0 {
             self.silent_since = now;
@@ -133,14 +133,14 @@
         self.in_flight += 1;
     }
 
-    /// Counts one attempt less.
+    /// Counts one attempt in flight less.
     pub(crate) fn free_slot(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Expected cost of sending one more attempt, for comparison with other leafs. A leaf that has
-    /// work and does not reply is as slow as it has been silent: a hung leaf is avoided before its
-    /// average shows it.
+    /// Expected cost of sending one more attempt, for comparison with other leafs. The
+    /// latency of a leaf that has work is at least the time since its last reply, so that a hung leaf
+    /// is avoided before its average shows it.
     pub(crate) fn cost(&self, now: Moment, typical_latency: Duration) -> f64 {
         let average = self.latency.average(now).unwrap_or(typical_latency);
         let silent = if self.in_flight > 0 {
@@ -148,20 +148,20 @@
         } else {
             Duration::ZERO
         };
-        let latency = average.max(silent).max(SHORTEST_LATENCY);
+        let latency = average.max(silent).max(MIN_LATENCY);
         let outstanding = self.in_flight.max(self.reported_outstanding(now));
         let load = f64::from(outstanding + 1);
-        load * latency.as_secs_f64() / self.limit.warmth(now)
+        load * latency.as_secs_f64() / self.limit.slow_start_progress(now)
     }
 
-    /// Notes a sign of life.
+    /// Records an answer or a refusal, which shows that the leaf is alive.
     pub(crate) fn on_reply(&mut self, now: Moment) {
         self.silent_since = now;
         self.failed_polls = 0;
         self.ejection.on_reply();
     }
 
-    /// Notes load figures from an answer, a refusal or a poll.
+    /// Records load figures from an answer, a refusal or a poll.
     pub(crate) fn on_load(&mut self, now: Moment, load: &LeafLoad) {
         self.load = Some(ReportedLoad {
             at: now,
@@ -169,20 +169,20 @@
         });
     }
 
-    /// Notes a poll that failed or found the leaf unable to serve.
+    /// Records a poll that failed or found the leaf unable to serve.
     pub(crate) fn on_failed_poll(&mut self) {
         self.failed_polls = self.failed_polls.saturating_add(1);
     }
 
-    /// Notes a successful poll. Returns whether the leaf was unreachable.
+    /// Records a successful poll. Returns whether the leaf was unreachable.
     pub(crate) fn on_successful_poll(&mut self) -> bool {
         let was_unreachable = self.is_unreachable();
         self.failed_polls = 0;
         was_unreachable
     }
 
-    /// Forgets everything but running attempts: another process took the leaf's place.
-    pub(crate) fn begin_new_life(&mut self, now: Moment, slow_start: bool) {
+    /// Resets everything but running attempts, because a new process has replaced the leaf.
+    pub(crate) fn reset_for_new_process(&mut self, now: Moment, slow_start: bool) {
         let slots = self.limit.slots();
         self.limit = ConcurrencyLimit::new(slots);
         if slow_start {
--- a/crates/tansylead-query/src/leaf_table.rs
+++ b/crates/tansylead-query/src/leaf_table.rs
@@ -1,7 +1,7 @@
-//! All leafs of one engine, addressed by small numbers.
+//! All leafs of one engine, addressed by index.
 //!
-//! A leaf that leaves the configuration stays in the table until the next configuration and for as
-//! long as attempts run on it, so that slots are counted to the end.
+//! A leaf that the configuration drops stays in the table until the next configuration and for as
+//! long as attempts run on it, so that their slots stay counted.
 
 use crate::ejection::{EjectionCause, is_straggler};
 use crate::leaf_state::LeafState;
@@ -9,20 +9,20 @@
 use std::time::Duration;
 use tansylead_types::{LeafDescriptor, LeafId, Moment, SnapshotVersion};
 
-/// Stragglers are looked for this often.
+/// Period of the check for stragglers.
 const STRAGGLER_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// Attempts needed before a leaf can be called a straggler.
-const STRAGGLER_MINIMUM_SAMPLES: u32 = 10;
-/// At most one leaf in this many is ejected as a straggler (but one where there are two).
-const LEAFS_FOR_EACH_STRAGGLER: usize = 3;
+/// Attempts needed before a leaf can count as a straggler.
+const MIN_STRAGGLER_SAMPLES: u32 = 10;
+/// At most one leaf in this many is ejected as a straggler (but one if there are two leafs).
+const LEAFS_PER_EJECTED_STRAGGLER: usize = 3;
 /// Latency assumed before the first answer.
 const DEFAULT_LATENCY: Duration = Duration::from_millis(10);
 
-/// Number of a leaf inside one engine.
+/// Index of a leaf inside one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LeafIndex(u32);
 
-/// The leafs.
+/// All leafs of one engine.
 #[derive(Debug)]
 pub(crate) struct LeafTable {
     leafs: BTreeMap<LeafIndex, LeafState>,
@@ -38,12 +38,12 @@
 /// What a configuration changed.
 #[derive(Debug, Default)]
 pub(crate) struct LeafChanges {
-    /// Leafs that were removed or replaced: what waits for them must look elsewhere.
+    /// Leafs that were removed or replaced; shards that wait for them must choose other leafs.
     pub(crate) displaced: Vec<LeafIndex>,
 }
 
 impl LeafTable {
-    /// No leafs; this root is the only one.
+    /// A table without leafs; this root is the only one.
     pub(crate) fn new() -> Self {
         Self {
             leafs: BTreeMap::new(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Puts a list of leafs in force.
+    /// Applies a configured list of leafs.
     pub(crate) fn configure(
         &mut self,
         now: Moment,
@@ -72,11 +72,11 @@
         listed.sort_unstable();
         self.remove_unlisted(&listed, &mut changes);
         self.configured_once = true;
-        self.touch();
+        self.advance_epoch();
         changes
     }
 
-    /// Divides the slots of every leaf among that many roots.
+    /// Divides the slots of every leaf among `roots` roots.
     pub(crate) fn set_roots(&mut self, roots: u32) {
         self.roots = roots.max(1);
         for leaf in self.leafs.values_mut() {
@@ -85,40 +85,40 @@
         }
     }
 
-    /// Forgets what leafs said about snapshots that are no longer configured.
+    /// Drops old evidence about snapshots that are no longer configured.
     pub(crate) fn retain_versions(&mut self, now: Moment, versions: &BTreeSet<SnapshotVersion>) {
         for leaf in self.leafs.values_mut() {
             leaf.snapshots.retain_versions(now, versions);
         }
     }
 
-    /// Number of a leaf by name.
+    /// Index of the leaf with this id.
     pub(crate) fn index(&self, leaf: &LeafId) -> Option<LeafIndex> {
         self.indexes.get(leaf).copied()
     }
 
-    /// A leaf by number.
+    /// The leaf at an index.
     pub(crate) fn get(&self, index: LeafIndex) -> Option<&LeafState> {
         self.leafs.get(&index)
     }
 
-    /// A leaf by number.
+    /// The leaf at an index, for changes.
     pub(crate) fn get_mut(&mut self, index: LeafIndex) -> Option<&mut LeafState> {
         self.leafs.get_mut(&index)
     }
 
-    /// All leafs in order of number.
+    /// All leafs in order of index.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (LeafIndex, &LeafState)> {
         self.leafs.iter().map(|(index, leaf)| (*index, leaf))
     }
 
-    /// Grows whenever it may have changed which leaf may serve which snapshot.
+    /// Counter that grows whenever the set of leafs that may serve a snapshot may have changed.
     pub(crate) fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Notes such a change.
-    pub(crate) fn touch(&mut self) {
+    /// Records a change of which leaf may serve which snapshot.
+    pub(crate) fn advance_epoch(&mut self) {
         self.epoch += 1;
     }
 
@@ -139,7 +139,7 @@
         accepting.map(|leaf| leaf.limit.slots()).sum()
     }
 
-    /// Updates the typical latency and, once a period, returns leafs to eject as stragglers.
+    /// Once a check period, updates the typical latency and returns the leafs to eject as stragglers.
     pub(crate) fn find_stragglers(&mut self, now: Moment) -> Vec<LeafIndex> {
         if now.since(self.checked_at) < STRAGGLER_CHECK_PERIOD {
             return Vec::new();
@@ -157,7 +157,7 @@
         let stragglers = slowest_first.filter(|(average, index)| {
             let samples = self.leafs[index].latency.samples();
             let ejected = self.leafs[index].ejection.is_ejected(now);
-            !ejected && samples >= STRAGGLER_MINIMUM_SAMPLES && is_straggler(*average, median)
+            !ejected && samples >= MIN_STRAGGLER_SAMPLES && is_straggler(*average, median)
         });
         stragglers.map(|(_, index)| index).take(allowed).collect()
     }
@@ -169,7 +169,7 @@
         index: LeafIndex,
         cause: EjectionCause,
     ) -> Option<Moment> {
-        self.touch();
+        self.advance_epoch();
         let leaf = self.leafs.get_mut(&index)?;
         Some(leaf.ejection.eject(now, cause))
     }
@@ -191,8 +191,8 @@
         if total < 2 {
             return 0;
         }
-        let most = (total / LEAFS_FOR_EACH_STRAGGLER).max(1);
-        most.saturating_sub(ejected)
+        let maximum = (total / LEAFS_PER_EJECTED_STRAGGLER).max(1);
+        maximum.saturating_sub(ejected)
     }
 
     fn add_or_update(
@@ -213,7 +213,7 @@
         leaf.configured = true;
         leaf.limit.set_slots(slots);
         if replaced || returns {
-            leaf.begin_new_life(now, slow_start);
+            leaf.reset_for_new_process(now, slow_start);
             changes.displaced.push(index);
         }
         index
@@ -229,7 +229,7 @@
         let index = LeafIndex(self.next_index);
         self.next_index += 1;
         let mut leaf = LeafState::new(descriptor.clone(), slots);
-        // The leafs of the first configuration are not cold: only this root is new.
+        // The leafs of the first configuration are not cold; only this root has just started.
         if self.configured_once && slow_start {
             leaf.limit.begin_slow_start(now);
         }
--- a/crates/tansylead-query/src/leaving.rs
+++ b/crates/tansylead-query/src/leaving.rs
@@ -1,25 +1,25 @@
-//! Whether a leaf is leaving. A leaving leaf gets no new work from the moment the first sign is
-//! seen, whatever its health says afterwards.
+//! Whether a leaf is leaving. A leaving leaf gets no new work from its first leaving signal on,
+//! whatever its health reports say afterwards.
 //!
-//! The mark is forgotten only when
+//! The leaving mark is cleared only when
 //! - the configuration removes the leaf and adds it again, or gives it another address; or
-//! - the leaf was seen to be gone (a poll failed or nothing could be sent) after its own last sign,
-//!   and at least [`SHORTEST_LEAVE`] after the last sign of anyone a poll finds it healthy and not
-//!   draining: a new life. An announcement may be about the old life, so it does not undo that the
-//!   leaf was seen to be gone; or
-//! - no answer or refusal of the leaf itself was a sign, and for [`SHORTEST_LEAVE`] no health report
-//!   and no announcement was one: the drain was called off. Whoever announces that a leaf is leaving
-//!   repeats it well within that time for as long as it holds.
+//! - the leaf was unreachable (a poll failed or nothing could be sent) after the last signal of its
+//!   own, and at least [`MIN_LEAVING_DURATION`] after the last signal from any source a poll finds it
+//!   healthy and not draining: a new process. An announcement may be about the old process, so it does
+//!   not reset that the leaf was unreachable; or
+//! - no answer or refusal of the leaf itself was a signal, and for [`MIN_LEAVING_DURATION`] no health
+//!   report and no announcement was one: the drain was cancelled. Whoever announces that a leaf is
+//!   leaving repeats it well within that time for as long as it holds.
 
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// The mark is kept at least this long after the last sign.
-pub(crate) const SHORTEST_LEAVE: Duration = Duration::from_secs(30);
+/// The mark is kept at least this long after the last signal.
+pub(crate) const MIN_LEAVING_DURATION: Duration = Duration::from_secs(30);
 
-/// Where a sign came from.
+/// Source of a leaving signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum LeavingSign {
+pub(crate) enum LeavingSignal {
     /// An answer or a refusal of the leaf itself.
     InBand,
     /// The machine list or a peer.
@@ -30,10 +30,10 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Mark {
-    last_sign: Moment,
+    last_signal: Moment,
     in_band: bool,
     polled: bool,
-    seen_gone: bool,
+    seen_unreachable: bool,
 }
 
 /// Leaving mark of one leaf.
@@ -48,47 +48,47 @@
         self.mark.is_some()
     }
 
-    /// Notes a sign. Returns whether it is the first.
-    pub(crate) fn on_sign(&mut self, now: Moment, sign: LeavingSign) -> bool {
+    /// Records a signal. Returns whether it is the first.
+    pub(crate) fn on_signal(&mut self, now: Moment, signal: LeavingSignal) -> bool {
         let is_first = self.mark.is_none();
         let mark = self.mark.get_or_insert(Mark {
-            last_sign: now,
+            last_signal: now,
             in_band: false,
             polled: false,
-            seen_gone: false,
+            seen_unreachable: false,
         });
-        mark.last_sign = now;
-        match sign {
-            LeavingSign::InBand => mark.in_band = true,
-            LeavingSign::Polled => mark.polled = true,
-            LeavingSign::Announced => return is_first,
+        mark.last_signal = now;
+        match signal {
+            LeavingSignal::InBand => mark.in_band = true,
+            LeavingSignal::Polled => mark.polled = true,
+            LeavingSignal::Announced => return is_first,
         }
-        mark.seen_gone = false;
+        mark.seen_unreachable = false;
         is_first
     }
 
-    /// Whether the leaf itself said so, and has not been seen to be gone since.
-    pub(crate) fn is_own_word(&self) -> bool {
-        let said = |mark: Mark| (mark.in_band || mark.polled) && !mark.seen_gone;
-        self.mark.is_some_and(said)
+    /// Whether the leaf itself signalled that it is leaving, and has not been unreachable since.
+    pub(crate) fn is_self_reported(&self) -> bool {
+        let signalled = |mark: Mark| (mark.in_band || mark.polled) && !mark.seen_unreachable;
+        self.mark.is_some_and(signalled)
     }
 
-    /// Notes that the leaf could not be reached.
+    /// Records that the leaf was unreachable.
     pub(crate) fn on_unreachable(&mut self) {
         if let Some(mark) = &mut self.mark {
-            mark.seen_gone = true;
+            mark.seen_unreachable = true;
         }
     }
 
-    /// Notes a health report of a healthy leaf that is not draining. Returns whether the mark
-    /// was forgotten.
+    /// Records a health report of a healthy leaf that is not draining. Returns whether the mark
+    /// was cleared.
     pub(crate) fn on_healthy_report(&mut self, now: Moment) -> bool {
         let Some(mark) = self.mark else {
             return false;
         };
-        let long_enough = now.since(mark.last_sign) >= SHORTEST_LEAVE;
-        let evidence = mark.seen_gone || !mark.in_band;
-        if !(long_enough && evidence) {
+        let long_enough = now.since(mark.last_signal) >= MIN_LEAVING_DURATION;
+        let may_clear = mark.seen_unreachable || !mark.in_band;
+        if !(long_enough && may_clear) {
             return false;
         }
         self.mark = None;
--- a/crates/tansylead-query/src/lib.rs
+++ b/crates/tansylead-query/src/lib.rs
@@ -1,7 +1,7 @@
 //! Sans-I/O query execution at a root: one [`RootEngine`] for each (service, place).
 //!
-//! The engine decides and the caller of the engine acts: events go in, actions come out, time and
-//! randomness are passed in. The daemon, the simulation and the fuzzers drive the same machine.
+//! The engine is a deterministic state machine: events go in, actions come out, and the time and a
+//! random seed are passed in. The daemon, the simulation and the fuzzers drive the same engine.
 
 mod admission;
 mod attempt_end;
@@ -14,7 +14,7 @@
 mod hedge;
 mod hedge_delay;
 mod latency_average;
-mod leaf_signs;
+mod leaf_signals;
 mod leaf_state;
 mod leaf_table;
 mod leaving;
--- a/crates/tansylead-query/src/restart.rs
+++ b/crates/tansylead-query/src/restart.rs
@@ -1,5 +1,5 @@
-//! Starting over on another snapshot when the pinned one goes away. Nothing is patched: results of
-//! the old snapshot are dropped and its attempts cancelled.
+//! Restart of a query on another snapshot when the pinned one goes away. Results of two snapshots are
+//! never mixed: those of the old one are dropped and its attempts cancelled.
 
 use crate::context::Context;
 use crate::query::{Query, addressed_shards};
@@ -7,11 +7,12 @@
 use std::sync::Arc;
 use tansylead_types::Moment;
 
-/// A query starts over only if at least this many typical latencies are left.
-const LATENCIES_LEFT: u32 = 2;
+/// A query restarts only if at least this many typical latencies are left before the deadline.
+const MIN_LATENCIES_LEFT: u32 = 2;
 
 impl Query {
-    /// Starts over if a shard lost its last replica and another snapshot is whole.
+    /// Restarts if a shard lost its last replica and another snapshot has a live replica of every
+    /// shard.
     pub(crate) fn restart_if_useful(
         &mut self,
         now: Moment,
@@ -23,16 +24,16 @@
                 return;
             }
             let routing_key = self.request.routing_key.as_deref();
-            let without = &self.pinned_versions;
-            let choice = catalog.choose_among(now, &context.leafs, routing_key, without);
-            let Some(choice) = choice.filter(|choice| choice.whole) else {
+            let excluded = &self.pinned_versions;
+            let choice = catalog.choose_among(now, &context.leafs, routing_key, excluded);
+            let Some(choice) = choice.filter(|choice| choice.every_shard_has_a_replica) else {
                 return;
             };
             self.restart(now, context, choice.snapshot);
         }
     }
 
-    /// Sends, queues or gives up every addressed shard.
+    /// Dispatches every addressed shard.
     pub(crate) fn dispatch_all(&mut self, now: Moment, context: &mut Context) {
         for position in 0..self.shards.len() {
             self.dispatch(now, context, position);
@@ -41,7 +42,7 @@
 
     fn may_restart(&self, now: Moment, context: &Context) -> bool {
         let restarts = self.pinned_versions.len() - 1;
-        let time_needed = context.leafs.typical_latency() * LATENCIES_LEFT;
+        let time_needed = context.leafs.typical_latency() * MIN_LATENCIES_LEFT;
         context.tuning.restarts
             && self.request.is_repeatable()
             && restarts < context.tuning.maximum_restarts as usize
--- a/crates/tansylead-query/src/shard_progress.rs
+++ b/crates/tansylead-query/src/shard_progress.rs
@@ -3,51 +3,51 @@
 use crate::leaf_table::LeafIndex;
 use tansylead_types::{MissingReason, Moment};
 
-/// Where the shard stands.
+/// Phase of a shard within its query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ShardPhase {
-    /// To be dispatched.
+    /// Ready to be dispatched.
     Open,
     /// Waits for a slot.
     Waiting,
-    /// Will be asked again at this moment.
+    /// Will be dispatched again at this time.
     BackingOff(Moment),
     /// At least one attempt is in flight.
     Running,
-    /// Answered; JSON text.
+    /// Answered, with the result as JSON text.
     Answered(String),
-    /// Given up.
+    /// Given up for this reason.
     Missing(MissingReason),
 }
 
-/// What a leaf that was tried is still good for.
+/// Whether a leaf that was tried may be tried again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TriedState {
     /// The attempt has not ended.
     Running,
-    /// May be tried again when no untried replica is left.
-    MayTryAgain,
-    /// Never again for this shard on this snapshot.
+    /// May be tried again if no untried replica is left.
+    Retryable,
+    /// Not to be tried again for this shard on this snapshot.
     Excluded,
 }
 
-/// One leaf that was tried.
+/// A leaf that was tried for the shard.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TriedLeaf {
-    /// Leaf.
+    /// Leaf that was tried.
     pub(crate) leaf: LeafIndex,
-    /// What it is still good for.
+    /// Whether it may be tried again.
     pub(crate) state: TriedState,
 }
 
-/// How the last attempt ended, as far as it matters for the next one.
+/// How the last attempt ended, as far as it affects the cost of the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LastEnd {
     /// No attempt has ended.
     None,
-    /// It did not run, and another replica is likely to serve: no extra load.
+    /// It did not run, and another replica is likely to serve; the next one is no extra load.
     Redirected,
-    /// It may have run, or was shed: the next one is extra load.
+    /// It may have run, or was shed; the next one is extra load.
     NeedsBudget,
 }
 
@@ -56,11 +56,11 @@
 pub(crate) struct ShardProgress {
     /// Position in the pinned snapshot's shard list.
     pub(crate) entry: usize,
-    /// Where the shard stands.
+    /// Phase of the shard.
     pub(crate) phase: ShardPhase,
     /// Attempts in flight.
     pub(crate) running: u32,
-    /// When the last attempt that was no hedge was sent.
+    /// When the last attempt other than a hedge was sent.
     pub(crate) sent_at: Moment,
     /// Whether that attempt has been hedged.
     pub(crate) hedged: bool,
@@ -81,7 +81,7 @@
 }
 
 impl ShardProgress {
-    /// A shard that has not been asked.
+    /// Progress of a shard that has not been dispatched.
     pub(crate) fn new(entry: usize) -> Self {
         Self {
             entry,
@@ -99,13 +99,13 @@
         }
     }
 
-    /// What the leaf is still good for; none if it has not been tried.
+    /// Whether the leaf may be tried again; none if it has not been tried.
     pub(crate) fn tried_state(&self, leaf: LeafIndex) -> Option<TriedState> {
         let tried = self.tried.iter().rev().find(|tried| tried.leaf == leaf);
         tried.map(|tried| tried.state)
     }
 
-    /// Notes what became of the attempt on a leaf.
+    /// Records whether a leaf that was tried may be tried again.
     pub(crate) fn set_tried(&mut self, leaf: LeafIndex, state: TriedState) {
         match self.tried.iter_mut().find(|tried| tried.leaf == leaf) {
             Some(tried) => tried.state = state,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether the shard needs nothing more.
+    /// Whether the shard is answered or given up.
     pub(crate) fn is_settled(&self) -> bool {
         matches!(self.phase, ShardPhase::Answered(_) | ShardPhase::Missing(_))
     }
--- a/crates/tansylead-query/src/snapshot_belief.rs
+++ b/crates/tansylead-query/src/snapshot_belief.rs
@@ -1,38 +1,38 @@
 //! Which snapshots and shards one leaf is believed to hold.
 //!
-//! The configuration says which leafs should hold a shard. What the leaf said in-band (an answer
-//! or a refusal) outweighs its health report for [`IN_BAND_LIFETIME`]. A health report that does
-//! not list the snapshot only makes it doubtful: reports lag, and asking costs one refusal.
+//! The configuration says which leafs should hold a shard. In-band evidence (an answer or a refusal of
+//! the leaf) outweighs its health report for [`IN_BAND_LIFETIME`]. A health report that does not list
+//! the snapshot only makes the leaf a last resort: reports lag, and trying costs one refusal.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tansylead_types::{Moment, ShardId, SnapshotVersion};
 
-/// An in-band sign is believed for this time; a leaf that refused may have been loading.
+/// Lifetime of in-band evidence. It is short because a leaf that refused may have been loading.
 const IN_BAND_LIFETIME: Duration = Duration::from_secs(10);
 
 /// Whether a leaf holds a shard at a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Holding {
-    /// As far as is known.
+    /// Held, as far as is known.
     Held,
-    /// Not by its last health report.
-    Doubtful,
-    /// Not by its own answer to an attempt.
+    /// Missing from the last health report of the leaf.
+    Unreported,
+    /// Not held, according to the refusal of an attempt by the leaf.
     NotHeld,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct InBandSign {
+struct InBandEvidence {
     at: Moment,
     held: bool,
 }
 
-/// Beliefs about one leaf.
+/// Evidence of which snapshots and shards one leaf holds.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct SnapshotBelief {
     reported: Option<BTreeSet<SnapshotVersion>>,
-    in_band: BTreeMap<SnapshotVersion, InBandSign>,
+    in_band: BTreeMap<SnapshotVersion, InBandEvidence>,
     shards_not_held: BTreeMap<SnapshotVersion, BTreeMap<ShardId, Moment>>,
 }
 
@@ -50,26 +50,26 @@
         self.holding_snapshot(now, version)
     }
 
-    /// Notes an answer for the snapshot. Returns whether a belief changed.
+    /// Records an answer for the snapshot. Returns whether the last in-band evidence changed.
     pub(crate) fn on_answer(&mut self, now: Moment, version: SnapshotVersion) -> bool {
-        let sign = InBandSign {
+        let evidence = InBandEvidence {
             at: now,
             held: true,
         };
-        let before = self.in_band.insert(version, sign);
-        before.is_none_or(|sign| !sign.held)
+        let before = self.in_band.insert(version, evidence);
+        before.is_none_or(|evidence| !evidence.held)
     }
 
-    /// Notes that the leaf refused because it does not hold the snapshot.
+    /// Records that the leaf refused because it does not hold the snapshot.
     pub(crate) fn on_snapshot_not_held(&mut self, now: Moment, version: SnapshotVersion) {
-        let sign = InBandSign {
+        let evidence = InBandEvidence {
             at: now,
             held: false,
         };
-        self.in_band.insert(version, sign);
+        self.in_band.insert(version, evidence);
     }
 
-    /// Notes that the leaf refused because it does not hold the shard at the snapshot.
+    /// Records that the leaf refused because it does not hold the shard at the snapshot.
     pub(crate) fn on_shard_not_held(
         &mut self,
         now: Moment,
@@ -80,7 +80,7 @@
         shards.insert(shard.clone(), now);
     }
 
-    /// Notes the snapshots of a health report. Returns whether they differ from the last one.
+    /// Records the snapshots of a health report. Returns whether they differ from the last one.
     pub(crate) fn on_report(&mut self, snapshots: &[SnapshotVersion]) -> bool {
         let snapshots: BTreeSet<SnapshotVersion> = snapshots.iter().copied().collect();
         if self.reported.as_ref() == Some(&snapshots) {
@@ -90,12 +90,12 @@
         true
     }
 
-    /// Forgets old signs about snapshots that are no longer configured. Queries in progress may
-    /// still be pinned to them, so new signs are kept.
+    /// Drops expired evidence about snapshots that are no longer configured. Queries in progress may
+    /// still be pinned to them, so recent evidence is kept.
     pub(crate) fn retain_versions(&mut self, now: Moment, versions: &BTreeSet<SnapshotVersion>) {
         let is_recent = |at: Moment| now.since(at) < IN_BAND_LIFETIME;
         self.in_band
-            .retain(|version, sign| versions.contains(version) || is_recent(sign.at));
+            .retain(|version, evidence| versions.contains(version) || is_recent(evidence.at));
         self.shards_not_held.retain(|version, shards| {
             versions.contains(version) || shards.values().any(|at| is_recent(*at))
         });
@@ -103,15 +103,15 @@
 
     fn holding_snapshot(&self, now: Moment, version: SnapshotVersion) -> Holding {
         match self.in_band.get(&version) {
-            Some(sign) if now.since(sign.at) < IN_BAND_LIFETIME => {
-                if sign.held {
+            Some(evidence) if now.since(evidence.at) < IN_BAND_LIFETIME => {
+                if evidence.held {
                     Holding::Held
                 } else {
                     Holding::NotHeld
                 }
             }
             _ if self.reports_snapshot(version) => Holding::Held,
-            _ => Holding::Doubtful,
+            _ => Holding::Unreported,
         }
     }
 
--- a/crates/tansylead-query/src/snapshot_choice.rs
+++ b/crates/tansylead-query/src/snapshot_choice.rs
@@ -1,8 +1,8 @@
 //! Choice of the snapshot a query is pinned to.
 //!
-//! The newest snapshot is taken at which every addressed shard has a live replica believed to hold
-//! it; if there is none, the one with the best coverage (the newest among equals). A snapshot
-//! without shards is never taken: it would make an empty answer look complete.
+//! The newest snapshot is chosen for which every addressed shard has a live replica believed to hold
+//! it; if there is none, the one with the best coverage (the newest among equals). A snapshot without
+//! shards is never chosen: it would make an empty answer look complete.
 
 use crate::leaf_table::{LeafIndex, LeafTable};
 use std::sync::Arc;
@@ -10,31 +10,31 @@
 use tansylead_types::{Moment, ServicePlacement, ShardId, Snapshot, SnapshotVersion};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A choice for unrouted queries is reused for this time unless a leaf changes.
+/// The choice for unrouted queries is cached for this time unless a leaf changes.
 const CHOICE_LIFETIME: Duration = Duration::from_millis(50);
 
 /// One shard of a pinned snapshot.
 #[derive(Debug, Clone)]
 pub(crate) struct PinnedShard {
-    /// Name.
+    /// Name of the shard.
     pub(crate) shard: ShardId,
-    /// Hash of the name, seed of the rendezvous.
+    /// Hash of the name, the seed for rendezvous hashing.
     hash: u64,
     /// Configured replicas.
     pub(crate) replicas: Vec<LeafIndex>,
 }
 
-/// A snapshot as queries pin it.
+/// A configured snapshot in the form that queries pin.
 #[derive(Debug, Clone)]
 pub(crate) struct PinnedSnapshot {
-    /// Version.
+    /// Version of the snapshot.
     pub(crate) version: SnapshotVersion,
-    /// Shards, ordered by name, each once.
+    /// Shards without duplicates, ordered by name.
     pub(crate) shards: Vec<PinnedShard>,
 }
 
 impl PinnedSnapshot {
-    /// Translates a configured snapshot; replicas that are not among the leafs are left out.
+    /// Converts a configured snapshot; replicas that are not in the leaf table are left out.
     fn new(snapshot: &Snapshot, leafs: &LeafTable) -> Self {
         let mut shards: Vec<PinnedShard> = snapshot
             .shards
@@ -87,13 +87,13 @@
     indexes
 }
 
-/// Result of a choice.
+/// The snapshot chosen for a query.
 #[derive(Debug, Clone)]
 pub(crate) struct SnapshotChoice {
-    /// The snapshot.
+    /// Snapshot to pin.
     pub(crate) snapshot: Arc<PinnedSnapshot>,
     /// Whether every addressed shard has a live replica.
-    pub(crate) whole: bool,
+    pub(crate) every_shard_has_a_replica: bool,
 }
 
 #[derive(Debug, Clone)]
@@ -111,7 +111,7 @@
 }
 
 impl SnapshotCatalog {
-    /// Puts the snapshots of a placement in force.
+    /// Applies the snapshots of a placement.
     pub(crate) fn configure(&mut self, placement: &ServicePlacement, leafs: &LeafTable) {
         let translated = placement
             .snapshots
@@ -140,7 +140,7 @@
             .collect()
     }
 
-    /// Chooses for a query; none if no snapshot is in force.
+    /// Chooses the snapshot for a query; none if no snapshot is in force.
     pub(crate) fn choose(
         &mut self,
         now: Moment,
@@ -165,29 +165,29 @@
         choice
     }
 
-    /// Chooses among the snapshots that are not listed in `without`.
+    /// Chooses among the snapshots that are not listed in `excluded`.
     pub(crate) fn choose_among(
         &self,
         now: Moment,
         leafs: &LeafTable,
         routing_key: Option<&str>,
-        without: &[SnapshotVersion],
+        excluded: &[SnapshotVersion],
     ) -> Option<SnapshotChoice> {
         let mut best: Option<(Availability, &Arc<PinnedSnapshot>)> = None;
         for snapshot in &self.snapshots {
-            if without.contains(&snapshot.version) {
+            if excluded.contains(&snapshot.version) {
                 continue;
             }
             let availability = Availability::of(now, snapshot, leafs, routing_key);
             if availability.live == 1.0 {
                 return Some(SnapshotChoice {
                     snapshot: Arc::clone(snapshot),
-                    whole: true,
+                    every_shard_has_a_replica: true,
                 });
             }
             if best
                 .as_ref()
-                .is_none_or(|(most, _)| availability.exceeds(most))
+                .is_none_or(|(best_so_far, _)| availability.exceeds(best_so_far))
             {
                 best = Some((availability, snapshot));
             }
@@ -195,17 +195,17 @@
         let (_, snapshot) = best?;
         Some(SnapshotChoice {
             snapshot: Arc::clone(snapshot),
-            whole: false,
+            every_shard_has_a_replica: false,
         })
     }
 }
 
-/// Shares (0 to 1) of the addressed shards that have a replica.
+/// Fractions (0 to 1) of the addressed shards that have a replica.
 #[derive(Debug, Clone, Copy)]
 struct Availability {
-    /// With a replica that is expected to answer.
+    /// Fraction with a replica that is expected to answer.
     live: f64,
-    /// With a replica that may be asked at all.
+    /// Fraction with a replica that an attempt may be sent to at all.
     askable: f64,
 }
 
@@ -228,7 +228,7 @@
                 .peekable();
             askable += u32::from(serving.peek().is_some());
             live += u32::from(serving.any(|leaf| {
-                leaf.is_live(now) && leaf.surely_holds(now, snapshot.version, &entry.shard)
+                leaf.is_live(now) && leaf.likely_holds(now, snapshot.version, &entry.shard)
             }));
         }
         Self {
--- a/crates/tansylead-query/src/status.rs
+++ b/crates/tansylead-query/src/status.rs
@@ -1,4 +1,4 @@
-//! A view of one engine for operators and metrics.
+//! Status of one engine for operators and metrics.
 
 use crate::context::Context;
 use crate::counters::EngineCounters;
@@ -9,51 +9,51 @@
 /// State of one leaf as this root sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeafStatus {
-    /// Leaf.
+    /// Id of the leaf.
     pub leaf: LeafId,
     /// Attempts that count as running.
     pub in_flight: u32,
-    /// Bound on `in_flight` now.
+    /// Current limit on `in_flight`.
     pub limit: u32,
     /// Slots of the leaf that belong to this root.
     pub slots: u32,
     /// Shards that wait for a slot of this leaf.
     pub waiting: usize,
-    /// Average latency; none before the first answer.
+    /// Average latency; none while there are no recent samples.
     pub latency: Option<Duration>,
-    /// Gets no new work because it is leaving.
+    /// Whether the leaf gets no new work because it is leaving.
     pub leaving: bool,
-    /// The leaf itself said that it is leaving, and has not been seen to be gone since: worth
-    /// telling other roots.
-    pub leaving_by_own_word: bool,
-    /// Ejected as a straggler or for failures.
+    /// Whether the leaf itself signalled that it is leaving and has not been unreachable since, so
+    /// that other roots should be told.
+    pub leaving_self_reported: bool,
+    /// Whether the leaf is ejected, as a straggler or for failures.
     pub ejected: bool,
-    /// Polls failed in a row.
+    /// Whether consecutive health polls failed.
     pub unreachable: bool,
 }
 
 /// State of one engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineStatus {
-    /// Queries in progress.
+    /// Number of queries in progress.
     pub queries_in_progress: usize,
-    /// Shards that wait for a slot.
+    /// Number of shards that wait for a slot.
     pub waiting_shards: usize,
-    /// Shards that will be asked again after a backoff.
+    /// Number of shards that will be dispatched again after a backoff.
     pub backing_off_shards: usize,
     /// Snapshots in force, newest first.
     pub snapshots: Vec<SnapshotVersion>,
     /// The snapshot that an unrouted query would be pinned to now.
     pub snapshot_in_use: Option<SnapshotVersion>,
     /// Whether every shard of that snapshot has a live replica.
-    pub whole: bool,
-    /// Learned delay of hedges; none while too little has been seen.
+    pub every_shard_has_a_replica: bool,
+    /// Learned hedge delay; none while there are too few samples.
     pub hedge_delay: Option<Duration>,
     /// Tokens left in the retry budget.
     pub retry_budget: f64,
     /// Configured leafs, ordered by name.
     pub leafs: Vec<LeafStatus>,
-    /// Counters.
+    /// Counters since the engine was created.
     pub counters: EngineCounters,
 }
 
@@ -74,7 +74,7 @@
         waiting: leaf.waiting.len(),
         latency: leaf.latency.average(now),
         leaving: leaf.leaving.is_leaving(),
-        leaving_by_own_word: leaf.leaving.is_own_word(),
+        leaving_self_reported: leaf.leaving.is_self_reported(),
         ejected: leaf.ejection.is_ejected(now),
         unreachable: leaf.is_unreachable(),
     }
