--- a/crates/tansylead-daemon/src/assembly.rs
+++ b/crates/tansylead-daemon/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a daemon together.
+//! Assembles a daemon from its parts.
 
 use crate::claims::{ClaimParts, Claims, PlannerParts, run_claim_member, run_claim_planner};
 use crate::clock::Clock;
@@ -31,7 +31,7 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-/// A daemon put together, its server for callers not yet running.
+/// An assembled daemon whose server for callers is not running yet.
 #[derive(Debug)]
 pub(crate) struct Assembly {
     pub(crate) state: Arc<DaemonState>,
@@ -51,7 +51,7 @@
     address: SocketAddr,
 }
 
-/// What all parts are made of.
+/// Values that all parts are built from.
 struct Base {
     settings: Settings,
     tuning: Arc<Tuning>,
@@ -64,7 +64,7 @@
     drain: CancellationToken,
 }
 
-/// What the cluster task publishes, and where it receives.
+/// Channels through which the cluster task publishes and receives.
 struct Channels {
     configuration: watch::Sender<Arc<ConfigurationView>>,
     members: watch::Sender<Arc<MemberView>>,
@@ -73,7 +73,7 @@
     inputs: mpsc::UnboundedReceiver<ClusterInput>,
 }
 
-/// What the servers for callers and for peers share.
+/// Parts that the servers for callers and for peers share.
 pub(crate) struct Shared {
     pub(crate) routes: Arc<Routes>,
     pub(crate) state: Arc<DaemonState>,
@@ -81,7 +81,7 @@
     roots: Arc<RootService>,
 }
 
-/// Binds the addresses and puts a daemon together.
+/// Binds the addresses and assembles a daemon.
 pub(crate) async fn assemble(settings: Settings, tuning: Tuning) -> eyre::Result<Assembly> {
     let sockets = bind_peer_sockets(settings.peer_address).await?;
     let peer_address = sockets.address;
--- a/crates/tansylead-daemon/src/clock.rs
+++ b/crates/tansylead-daemon/src/clock.rs
@@ -9,8 +9,7 @@
 const MILLIS_PER_HOUR: u64 = 3_600_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Reads the clocks. Moments share one origin for the life of the machine's boot, so every reader
-/// of one process agrees.
+/// Reads the clocks. Moments count from the boot of the machine, so all readers in a process agree.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clock;
 
--- a/crates/tansylead-daemon/src/cluster/machine_list.rs
+++ b/crates/tansylead-daemon/src/cluster/machine_list.rs
@@ -108,7 +108,7 @@
         let leaving: BTreeSet<SocketAddr> = leaving.map(|machine| machine.address).collect();
         for address in leaving.difference(&self.leaving) {
             log::info!("machine list: {address} is leaving");
-            self.routes.leaf_address_leaving(*address);
+            self.routes.notify_leaf_leaving(*address);
         }
         self.leaving = leaving;
     }
@@ -119,7 +119,7 @@
     fn renew(&self) {
         if self.period() < OTHERS_PERIOD {
             for address in &self.leaving {
-                self.routes.leaf_address_leaving(*address);
+                self.routes.notify_leaf_leaving(*address);
             }
         }
     }
--- a/crates/tansylead-daemon/src/daemon.rs
+++ b/crates/tansylead-daemon/src/daemon.rs
@@ -16,18 +16,18 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Requests to stop that are held until they are looked at.
-const STOP_REQUESTS_HELD: usize = 4;
-/// Time for the last packets to peers.
-const GOODBYE_LIMIT: Duration = Duration::from_millis(500);
+/// Capacity of the queue of stop requests.
+const STOP_REQUEST_CAPACITY: usize = 4;
+/// Time allowed for the last packets to peers.
+const EXIT_LIMIT: Duration = Duration::from_millis(500);
 
-/// Period of looking whether claims are handed over.
+/// Period of checking whether the claims are handed over.
 const HANDOVER_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// How a daemon ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainResult {
-    /// Everything open was answered.
+    /// All open queries were answered.
     Clean,
     /// The drain limit passed, or a second request to stop came, with queries still open.
     Cut {
@@ -97,30 +97,30 @@
         &self.state
     }
 
-    /// Waits until one of the daemon's tasks ends, which only a fault brings about.
-    async fn fault(&mut self) -> eyre::Report {
+    /// Waits until one of the daemon's tasks ends, which happens only on a fault.
+    async fn wait_for_fault(&mut self) -> eyre::Report {
         match self.tasks.join_next().await {
             Some(Err(error)) => eyre::eyre!("a task of the daemon ended: {error}"),
             Some(Ok(())) | None => eyre::eyre!("a task of the daemon ended"),
         }
     }
 
-    /// Planned stop: not ready and leaving from now on, answers what is open and what still
-    /// arrives, then ends. `cut` ends it at once.
-    pub async fn drain(mut self, cut: impl Future<Output = ()>) -> DrainResult {
+    /// Planned stop: reports not ready and leaving from now on, answers open queries and those that
+    /// still arrive, then ends. Completion of `abort` ends it at once.
+    pub async fn drain(mut self, abort: impl Future<Output = ()>) -> DrainResult {
         self.state.set_draining();
         self.cluster.leave();
         self.drain.cancel();
         log::info!("planned stop: draining");
         let drain_limit = self.drain_limit;
         let cause = tokio::select! {
-            () = self.finish() => None,
+            () = self.wait_until_drained() => None,
             () = tokio::time::sleep(drain_limit) => Some("the drain limit passed"),
-            () = cut => Some("a second request to stop came"),
+            () = abort => Some("a second request to stop came"),
         };
         let result = match cause {
             None => {
-                log::info!("planned stop: everything open was answered");
+                log::info!("planned stop: all open queries were answered");
                 DrainResult::Clean
             }
             Some(cause) => {
@@ -132,14 +132,14 @@
                 }
             }
         };
-        let _ = tokio::time::timeout(GOODBYE_LIMIT, self.cluster.exit()).await;
+        let _ = tokio::time::timeout(EXIT_LIMIT, self.cluster.exit()).await;
         result
     }
 }
 
 impl Daemon {
-    /// Waits until everything open is answered and others hold this daemon's claims.
-    async fn finish(&mut self) {
+    /// Waits until all open queries are answered and others hold this daemon's claims.
+    async fn wait_until_drained(&mut self) {
         let _ = (&mut self.server).await;
         let handover = async {
             while self.claims.is_needed() && self.state.has_peers() {
@@ -153,20 +153,20 @@
     }
 }
 
-/// Requests to stop, as they come from signals or from a test.
+/// Receiver of stop requests, from signals or from a test.
 #[derive(Debug)]
 pub struct StopRequests {
     receiver: mpsc::Receiver<()>,
 }
 
 impl StopRequests {
-    /// Where to send requests to stop, and what [`run`] takes.
+    /// A sender of stop requests, and the receiver that [`run`] takes.
     pub fn channel() -> (mpsc::Sender<()>, Self) {
-        let (sender, receiver) = mpsc::channel(STOP_REQUESTS_HELD);
+        let (sender, receiver) = mpsc::channel(STOP_REQUEST_CAPACITY);
         (sender, Self { receiver })
     }
 
-    /// Requests that come as SIGTERM and SIGINT. Must be called inside a runtime.
+    /// Stop requests from SIGTERM and SIGINT. Must be called inside a runtime.
     pub fn from_signals() -> eyre::Result<Self> {
         let (sender, requests) = Self::channel();
         forward_signal(SignalKind::terminate(), sender.clone())?;
@@ -194,7 +194,7 @@
     Ok(())
 }
 
-/// Runs a daemon until it is asked to stop, or another run takes its address, and has drained.
+/// Runs a daemon until it has drained, after a stop request or after another run took its address.
 pub async fn run(
     settings: Settings,
     tuning: Tuning,
@@ -204,9 +204,9 @@
     let state = Arc::clone(&daemon.state);
     tokio::select! {
         () = stop.next() => {}
-        () = state.replaced() => {}
-        // The process ends, and whoever started it starts it anew.
-        fault = daemon.fault() => return Err(fault),
+        () = state.wait_until_replaced() => {}
+        // The process exits; whatever started it is expected to start it again.
+        fault = daemon.wait_for_fault() => return Err(fault),
     }
     Ok(daemon.drain(stop.next()).await)
 }
--- a/crates/tansylead-daemon/src/frontend.rs
+++ b/crates/tansylead-daemon/src/frontend.rs
@@ -1,7 +1,7 @@
-//! Takes a checked query to a root and brings back its answer.
+//! Sends a validated query to a root and returns its answer.
 //!
-//! A query that provably ran nowhere goes to the next root, a few times at most. One that may have
-//! run goes to another root only if it is repeatable, and once at most.
+//! A query that provably ran nowhere is sent to the next root, up to a few times. One that may have
+//! run is sent to another root only if it is repeatable, and at most once.
 
 use crate::answers::not_run;
 use crate::clock::Clock;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tansylead_types::{Moment, NodeId, Outcome, PlaceName, QueryAnswer, QueryRequest};
 
-/// Time for which a root that gave no answer is left out.
+/// How long a root that gave no answer is skipped.
 const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Serves the callers of one daemon.
@@ -28,12 +28,12 @@
     clock: Clock,
 }
 
-/// What a frontend works with.
+/// Dependencies of a frontend.
 #[derive(Debug)]
 pub struct FrontendParts {
-    /// Where queries go.
+    /// Routes of queries.
     pub routes: Arc<Routes>,
-    /// Own roots.
+    /// Roots of this daemon.
     pub roots: Arc<RootService>,
     /// Other daemons.
     pub peers: Arc<PeerClient>,
@@ -50,12 +50,12 @@
     root: NodeId,
 }
 
-/// How one root took a query.
+/// Result of sending a query to one root.
 #[derive(Debug)]
-enum Forwarded {
+enum ForwardResult {
     /// It answered.
     Answered(RootAnswer),
-    /// Nothing ran there; it wants to be asked again after this time at the earliest.
+    /// Nothing ran there; the earliest retry is after this time.
     NotRun { retry_after: Duration },
     /// It could not be reached; nothing ran.
     Unreachable,
@@ -64,7 +64,7 @@
 }
 
 impl Frontend {
-    /// A frontend of these parts.
+    /// A frontend with these dependencies.
     pub fn new(parts: FrontendParts) -> Self {
         Self {
             parts,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Where queries go.
+    /// Routes of queries.
     pub fn routes(&self) -> &Routes {
         &self.parts.routes
     }
 
-    /// When callers refused for lack of configuration should come back.
+    /// When callers that are refused for lack of configuration should retry.
     pub fn retry_after(&self) -> Duration {
         self.parts.tuning.default_retry_after
     }
@@ -94,14 +94,14 @@
                     break;
                 }
             };
-            match self.ask(&target, &request, deadline).await {
-                Forwarded::Answered(answered) => {
-                    if !self.note_answer(&target, &request, &answered) {
+            match self.query_root(&target, &request, deadline).await {
+                ForwardResult::Answered(answered) => {
+                    if !self.record_answer(&target, &request, &answered) {
                         return mark_earlier_run(answered.answer, may_have_run);
                     }
                     last_refusal = Some(answered.answer);
                 }
-                Forwarded::NotRun { retry_after } => {
+                ForwardResult::NotRun { retry_after } => {
                     self.parts.routes.on_refusal(
                         &request.service,
                         &target.place,
@@ -109,9 +109,9 @@
                         retry_after,
                     );
                 }
-                Forwarded::Unreachable => self.note_unreachable(&target, &request),
-                Forwarded::MayHaveRun { reason } => {
-                    self.note_unresponsive(&target, &request);
+                ForwardResult::Unreachable => self.record_unreachable(&target, &request),
+                ForwardResult::MayHaveRun { reason } => {
+                    self.record_unresponsive(&target, &request);
                     if may_have_run || !request.is_repeatable() {
                         return self.unknown(&request, reason);
                     }
@@ -137,8 +137,8 @@
                 reason,
                 retry_after,
             } => {
-                // During a planned stop of the only root, it serves to the end.
-                if routes.is_leaving() && self.parts.roots.has(&self.own_key(request)) {
+                // The only root serves on until the end of its planned stop.
+                if routes.is_leaving() && self.parts.roots.has_root(&self.own_key(request)) {
                     return Ok(Target {
                         place: routes.own_place().clone(),
                         root: routes.own_node(),
@@ -157,39 +157,44 @@
         }
     }
 
-    async fn ask(&self, target: &Target, request: &QueryRequest, deadline: Moment) -> Forwarded {
+    async fn query_root(
+        &self,
+        target: &Target,
+        request: &QueryRequest,
+        deadline: Moment,
+    ) -> ForwardResult {
         if target.root == self.parts.routes.own_node() {
-            return self.ask_own(target, request, deadline).await;
+            return self.query_own_root(target, request, deadline).await;
         }
         let forwarded = self.forward(target, request, deadline).await;
         let result = match &forwarded {
-            Forwarded::Answered(_) => "answered",
-            Forwarded::NotRun { .. } => "not_run",
-            Forwarded::Unreachable => "unreachable",
-            Forwarded::MayHaveRun { .. } => "may_have_run",
+            ForwardResult::Answered(_) => "answered",
+            ForwardResult::NotRun { .. } => "not_run",
+            ForwardResult::Unreachable => "unreachable",
+            ForwardResult::MayHaveRun { .. } => "may_have_run",
         };
         let labels = [request.service.as_str(), result];
         self.parts.metrics.forwards.with_label_values(&labels).inc();
         forwarded
     }
 
-    async fn ask_own(
+    async fn query_own_root(
         &self,
         target: &Target,
         request: &QueryRequest,
         deadline: Moment,
-    ) -> Forwarded {
+    ) -> ForwardResult {
         let key = PlacementKey {
             service: request.service.clone(),
             place: target.place.clone(),
         };
         let executed = self.parts.roots.execute(&key, request.clone(), deadline);
         match executed.await {
-            Ok(answered) => Forwarded::Answered(answered),
-            Err(RootError::NotRoot | RootError::Busy) => Forwarded::NotRun {
+            Ok(answered) => ForwardResult::Answered(answered),
+            Err(RootError::NotRoot | RootError::Busy) => ForwardResult::NotRun {
                 retry_after: self.retry_after(),
             },
-            Err(error @ RootError::Lost) => Forwarded::MayHaveRun {
+            Err(error @ RootError::Lost) => ForwardResult::MayHaveRun {
                 reason: error.to_string(),
             },
         }
@@ -200,7 +205,7 @@
         target: &Target,
         request: &QueryRequest,
         deadline: Moment,
-    ) -> Forwarded {
+    ) -> ForwardResult {
         let query = ForwardedQuery {
             place: target.place.clone(),
             request: request.clone(),
@@ -215,27 +220,32 @@
         let allowance = ForwardAllowance(allowance);
         let called = peers.call_within(target.root, request, deadline, allowance);
         match called.await {
-            Ok(PeerResponse::Answer(forwarded)) => Forwarded::Answered(RootAnswer {
+            Ok(PeerResponse::Answer(forwarded)) => ForwardResult::Answered(RootAnswer {
                 answer: forwarded.answer,
                 report: forwarded.report,
             }),
-            Ok(PeerResponse::NotRoot | PeerResponse::Busy) => Forwarded::NotRun {
+            Ok(PeerResponse::NotRoot | PeerResponse::Busy) => ForwardResult::NotRun {
                 retry_after: self.retry_after(),
             },
-            Ok(_) => Forwarded::MayHaveRun {
+            Ok(_) => ForwardResult::MayHaveRun {
                 reason: format!("root {} ended without an answer", target.root),
             },
-            Err(CallError::NotSent(_)) => Forwarded::Unreachable,
-            Err(CallError::MaybeReceived(error)) => Forwarded::MayHaveRun {
+            Err(CallError::NotSent(_)) => ForwardResult::Unreachable,
+            Err(CallError::MaybeReceived(error)) => ForwardResult::MayHaveRun {
                 reason: error.to_string(),
             },
         }
     }
 
-    /// Notes what the answer says about the root; true if the query should go to another root.
-    /// A non-repeatable request may have been refused for lack of claims, which says nothing about
-    /// the root's room for lookups.
-    fn note_answer(&self, target: &Target, request: &QueryRequest, answered: &RootAnswer) -> bool {
+    /// Records what the answer says about the root. Returns true if the query should go to another
+    /// root. A non-repeatable request may have been refused for lack of claims, which says nothing
+    /// about the root's room for lookups.
+    fn record_answer(
+        &self,
+        target: &Target,
+        request: &QueryRequest,
+        answered: &RootAnswer,
+    ) -> bool {
         let routes = &self.parts.routes;
         let (service, place, root) = (&request.service, &target.place, target.root);
         if let Some(report) = answered.report {
@@ -252,13 +262,13 @@
         }
     }
 
-    fn note_unreachable(&self, target: &Target, request: &QueryRequest) {
+    fn record_unreachable(&self, target: &Target, request: &QueryRequest) {
         let routes = &self.parts.routes;
         routes.on_unreachable(&request.service, &target.place, target.root);
     }
 
-    /// A root that took a query and gave no answer may be frozen: others are asked for a while.
-    fn note_unresponsive(&self, target: &Target, request: &QueryRequest) {
+    /// A root that received a query and gave no answer may be frozen, so it is skipped for a while.
+    fn record_unresponsive(&self, target: &Target, request: &QueryRequest) {
         let routes = &self.parts.routes;
         let (service, place) = (&request.service, &target.place);
         routes.on_refusal(service, place, target.root, UNRESPONSIVE_BACKOFF);
@@ -269,7 +279,7 @@
     }
 }
 
-/// A refusal after another root may have run the query is not "not run".
+/// Turns "not run" into "unknown" if another root may have run the query before the refusal.
 fn mark_earlier_run(mut answer: QueryAnswer, may_have_run: bool) -> QueryAnswer {
     if may_have_run && answer.outcome == Outcome::NotRun {
         answer.outcome = Outcome::Unknown;
--- a/crates/tansylead-daemon/src/http/router.rs
+++ b/crates/tansylead-daemon/src/http/router.rs
@@ -143,7 +143,7 @@
         let deadline = arrived + headers.time_left();
         let body = read_body(request.into_body(), &definition).await?;
         let query = headers.into_request(&definition, body);
-        let _in_progress = self.state.query_started();
+        let _in_progress = self.state.count_query();
         let answer = self.frontend.execute(query, deadline).await;
         self.count(&answer, &definition, arrived);
         answer::response(answer)
--- a/crates/tansylead-daemon/src/http/server.rs
+++ b/crates/tansylead-daemon/src/http/server.rs
@@ -2,7 +2,7 @@
 
 use super::router::Router;
 use crate::clock::Clock;
-use crate::state::{DaemonState, InProgress};
+use crate::state::{DaemonState, GaugeGuard};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
@@ -143,7 +143,7 @@
             .header_read_timeout(self.limits.header_read)
             .serve_connection(TokioIo::new(stream), service);
         let close_idle = self.close_idle.clone();
-        let open = InProgress::new(&self.state.metrics().caller_connections);
+        let open = GaugeGuard::new(&self.state.metrics().caller_connections);
         tokio::spawn(async move {
             let _open = open;
             tokio::pin!(connection);
--- a/crates/tansylead-daemon/src/logging.rs
+++ b/crates/tansylead-daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: for changes of state only; what happens often is counted in metrics.
+//! Logging. Log lines are for changes of state only; frequent events are counted in metrics.
 
 use eyre::WrapErr;
 use std::path::Path;
--- a/crates/tansylead-daemon/src/metrics.rs
+++ b/crates/tansylead-daemon/src/metrics.rs
@@ -25,7 +25,7 @@
     pub queries_in_progress: IntGauge,
     /// Queries whose caller went away before the answer.
     pub callers_gone: IntCounter,
-    /// Requests refused before any query was made of them, by error code.
+    /// Requests refused before they became a query, by error code.
     pub request_errors: IntCounterVec,
     /// Attempts handed to the leaf adapter, by service.
     pub leaf_attempts: IntCounterVec,
@@ -33,15 +33,15 @@
     pub leaf_attempt_ends: IntCounterVec,
     /// Attempts cancelled, by service.
     pub leaf_cancels: IntCounterVec,
-    /// What root engines counted, by service and event.
+    /// Events counted by the root engines, by service and event.
     pub engine_events: IntCounterVec,
     /// Open connections to leafs, by service.
     pub leaf_connections: IntGaugeVec,
-    /// Time of one attempt that was answered.
+    /// Duration of an answered attempt.
     pub leaf_attempt_seconds: Histogram,
     /// Reads of the store, by result.
     pub store_reads: IntCounterVec,
-    /// Bytes between daemons for control, by kind and direction.
+    /// Bytes of control traffic between daemons, by kind and direction.
     pub control_bytes: IntCounterVec,
     /// Bytes of forwarded queries and their answers, by direction.
     pub forward_bytes: IntCounterVec,
@@ -53,7 +53,7 @@
     pub suspicions: IntGauge,
     /// Queries forwarded to a root, by service and result.
     pub forwards: IntCounterVec,
-    /// Non-repeatable requests at this root, by what was done with them.
+    /// Non-repeatable requests at this root, by result.
     pub claimed_requests: IntCounterVec,
     /// Highest store revision in force here.
     pub configuration_revision: IntGauge,
--- a/crates/tansylead-daemon/src/peer_service.rs
+++ b/crates/tansylead-daemon/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! What this daemon does for its peers.
+//! Handles the requests and notices of peers.
 
 use crate::claims::Claims;
 use crate::clock::Clock;
@@ -13,16 +13,16 @@
 use std::sync::Arc;
 use tansylead_types::InstanceId;
 
-/// What this daemon does for its peers.
+/// Handles the requests and notices of peers.
 #[derive(Debug)]
 pub struct PeerService {
     /// Executes forwarded queries.
     pub roots: Arc<RootService>,
-    /// Takes notices for roots.
+    /// Passes notices on to roots.
     pub directory: RootDirectory,
     /// Serves pulls of the configuration.
     pub cluster: ClusterHandle,
-    /// Answers for the claim member.
+    /// Answers requests to this daemon's claim member.
     pub claims: Arc<Claims>,
     /// Counts queries in progress.
     pub state: Arc<DaemonState>,
@@ -52,7 +52,7 @@
                     service: share.service,
                     place: share.place,
                 };
-                self.tell_root(
+                self.send_to_root(
                     &key,
                     RootCommand::Share {
                         from: from.node,
@@ -65,7 +65,7 @@
                     service: leaving.service,
                     place: leaving.place,
                 };
-                self.tell_root(&key, RootCommand::LeafLeaving(leaving.leaf));
+                self.send_to_root(&key, RootCommand::LeafLeaving(leaving.leaf));
             }
         }
     }
@@ -78,10 +78,10 @@
             service: query.request.service.clone(),
             place: query.place,
         };
-        if !self.roots.has(&key) {
+        if !self.roots.has_root(&key) {
             return PeerResponse::NotRoot;
         }
-        let _in_progress = self.state.forwarded_query_started();
+        let _in_progress = self.state.count_forwarded_query();
         match self.roots.execute(&key, query.request, deadline).await {
             Ok(answered) => PeerResponse::Answer(Box::new(ForwardedAnswer {
                 answer: answered.answer,
@@ -93,7 +93,7 @@
         }
     }
 
-    fn tell_root(&self, key: &PlacementKey, command: RootCommand) {
+    fn send_to_root(&self, key: &PlacementKey, command: RootCommand) {
         if let Some(root) = self.directory.get(key) {
             root.send(command);
         }
--- a/crates/tansylead-daemon/src/platform.rs
+++ b/crates/tansylead-daemon/src/platform.rs
@@ -27,7 +27,7 @@
 /// Idle connections to the platform are closed after this time.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
 
-/// What the store did with a write.
+/// How the store answered a write.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteOutcome {
     /// The object now has the written contents.
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The list as the platform shows it now. It lags behind the truth.
+    /// The list as the platform reports it now; it lags behind the actual state.
     pub async fn list(&self) -> Result<MachineList, StepError> {
         self.http
             .get("read machine list", MACHINES_PATH, REQUEST_LIMIT)
@@ -161,14 +161,14 @@
     format!("{STORE_OBJECTS_PATH}/{key}")
 }
 
-/// A whole HTTP reply.
+/// A complete HTTP reply.
 #[derive(Debug)]
 struct HttpReply {
     status: StatusCode,
     body: Bytes,
 }
 
-/// A request without a whole reply.
+/// Why a request got no complete reply.
 #[derive(Debug)]
 enum HttpFailure {
     /// No connection was made, so nothing was sent.
@@ -284,8 +284,11 @@
 
     fn unexpected_status(&self, step: &'static str, reply: &HttpReply) -> StepError {
         let text = String::from_utf8_lossy(&reply.body);
-        let shown: String = text.chars().take(MAXIMUM_SHOWN_CHARACTERS).collect();
-        self.error(step, format!("unexpected status {}: {shown}", reply.status))
+        let quoted: String = text.chars().take(MAXIMUM_QUOTED_CHARACTERS).collect();
+        self.error(
+            step,
+            format!("unexpected status {}: {quoted}", reply.status),
+        )
     }
 
     fn error(&self, step: &'static str, cause: impl std::fmt::Display) -> StepError {
@@ -294,4 +297,4 @@
 }
 
 /// Characters of an unexpected answer that are quoted in the error.
-const MAXIMUM_SHOWN_CHARACTERS: usize = 200;
+const MAXIMUM_QUOTED_CHARACTERS: usize = 200;
--- a/crates/tansylead-daemon/src/root/supervisor.rs
+++ b/crates/tansylead-daemon/src/root/supervisor.rs
@@ -158,7 +158,7 @@
             let (service, place) = (&key.service, &key.place);
             let candidates = Arc::clone(&candidates);
             let inputs = PlaceInputs::new(service, place, placement, view.table(), candidates);
-            let routes = PlaceRoutes::refreshed(known.remove(key), service, place, inputs);
+            let routes = PlaceRoutes::reuse_or_compute(known.remove(key), service, place, inputs);
             if let Some(definition) = view.service(service)
                 && routes.set.contains(self.parts.instance.node)
             {
--- a/crates/tansylead-daemon/src/root_service.rs
+++ b/crates/tansylead-daemon/src/root_service.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tansylead_types::{Moment, QueryId, QueryRequest, Repeatability};
 
-/// Told to callers when too many queries wait for the root.
+/// Retry time given to callers when too many queries wait for the root.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Why a root gave no answer.
@@ -28,7 +28,7 @@
     Lost,
 }
 
-/// The own roots, as something that executes queries.
+/// Executes queries at the roots of this daemon.
 #[derive(Debug)]
 pub struct RootService {
     roots: RootDirectory,
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Whether this daemon has the root.
-    pub fn has(&self, key: &PlacementKey) -> bool {
+    /// Whether this daemon is a root of the service in the place.
+    pub fn has_root(&self, key: &PlacementKey) -> bool {
         self.roots.get(key).is_some()
     }
 
-    /// Executes a query. Dropping the future cancels a repeatable one; a non-repeatable one goes on
-    /// and its answer is kept for repetitions.
+    /// Executes a query. Dropping the future cancels a repeatable one; a non-repeatable one
+    /// continues and its answer is kept for repetitions.
     pub async fn execute(
         &self,
         key: &PlacementKey,
@@ -83,7 +83,7 @@
                     request.request.clone(),
                     deadline,
                 );
-                let in_progress = self.state.query_started();
+                let in_progress = self.state.count_query();
                 let task = tokio::spawn(async move {
                     let _in_progress = in_progress;
                     run_claimed(&root, query, request, deadline, execution).await
--- a/crates/tansylead-daemon/src/routing/mod.rs
+++ b/crates/tansylead-daemon/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Where queries go: the serving sets as this daemon sees them, and what it knows of the room at
-//! each root. Decisions are those of `tansylead_cluster::routing`; this keeps its inputs current.
+//! Routing of queries: the serving sets as this daemon sees them, and the reported room of each
+//! root. `tansylead_cluster::routing` makes the decisions; this module keeps its inputs current.
 
 mod place_routes;
 mod routes;
--- a/crates/tansylead-daemon/src/routing/place_routes.rs
+++ b/crates/tansylead-daemon/src/routing/place_routes.rs
@@ -1,10 +1,10 @@
-//! The serving set of one service in one place, kept until something it follows from changes.
+//! The serving set of one service in one place, kept until one of its inputs changes.
 
 use std::sync::Arc;
 use tansylead_cluster::routing::{Candidate, ServingSet, largest_limit, serving_set};
 use tansylead_types::{PlaceName, ServiceName, ServicePlacement, TrafficTable};
 
-/// What a serving set follows from.
+/// Inputs of a serving set.
 #[derive(Debug, Clone)]
 pub struct PlaceInputs {
     /// Leafs and snapshots.
@@ -31,14 +31,14 @@
         }
     }
 
-    fn same_as(&self, other: &Self) -> bool {
+    fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.placement, &other.placement)
             && Arc::ptr_eq(&self.candidates, &other.candidates)
             && self.limit == other.limit
     }
 }
 
-/// A serving set and what it follows from.
+/// A serving set and the inputs it was computed from.
 #[derive(Debug, Clone)]
 pub struct PlaceRoutes {
     inputs: PlaceInputs,
@@ -47,15 +47,15 @@
 }
 
 impl PlaceRoutes {
-    /// The routes for these inputs: the ones known, if they still hold.
-    pub fn refreshed(
+    /// The routes for these inputs: the known ones if their inputs are the same, else new ones.
+    pub fn reuse_or_compute(
         known: Option<PlaceRoutes>,
         service: &ServiceName,
         place: &PlaceName,
         inputs: PlaceInputs,
     ) -> Self {
         if let Some(known) = known
-            && known.inputs.same_as(&inputs)
+            && known.inputs.is_same(&inputs)
         {
             return known;
         }
--- a/crates/tansylead-daemon/src/routing/routes.rs
+++ b/crates/tansylead-daemon/src/routing/routes.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// What routes follow from.
+/// Inputs of the routes.
 #[derive(Debug)]
 pub struct RoutesParts {
     /// This daemon.
@@ -27,9 +27,9 @@
     pub configuration: watch::Receiver<Arc<ConfigurationView>>,
     /// Members.
     pub members: watch::Receiver<Arc<MemberView>>,
-    /// For notices.
+    /// For notices to other roots.
     pub peers: Arc<PeerClient>,
-    /// Own roots.
+    /// Roots of this daemon.
     pub roots: RootDirectory,
     /// Cancelled when a planned stop begins.
     pub drain: CancellationToken,
@@ -44,7 +44,7 @@
 }
 
 impl Routes {
-    /// Routes that follow these parts.
+    /// Routes computed from these inputs.
     pub fn new(parts: RoutesParts) -> Self {
         Self {
             parts,
@@ -78,21 +78,21 @@
         let now = self.clock.now();
         let hour = self.clock.hour_of_day();
         let (place, node) = (&self.parts.place, self.parts.own_node);
-        self.with(service, |routes| routes.choose(now, hour, place, node))
+        self.with_routes(service, |routes| routes.choose(now, hour, place, node))
     }
 
     /// The serving set of a service in a place; none if it has no leafs there.
     pub fn serving_set(&self, key: &PlacementKey) -> Option<Arc<ServingSet>> {
-        self.with(&key.service, |routes| routes.set(&key.place))
+        self.with_routes(&key.service, |routes| routes.set(&key.place))
     }
 
     /// The row of the table in force at this hour.
     pub fn row(&self, key: &PlacementKey) -> Option<TableRow> {
         let hour = self.clock.hour_of_day();
-        self.with(&key.service, |routes| routes.row(&key.place, hour).cloned())
+        self.with_routes(&key.service, |routes| routes.row(&key.place, hour).cloned())
     }
 
-    /// Notes what a root said of its room.
+    /// Records the room that a root reported.
     pub fn on_report(
         &self,
         service: &ServiceName,
@@ -101,10 +101,10 @@
         report: RootReport,
     ) {
         let now = self.clock.now();
-        self.with(service, |routes| routes.on_report(now, place, root, report));
+        self.with_routes(service, |routes| routes.on_report(now, place, root, report));
     }
 
-    /// Notes that a root refused.
+    /// Records that a root refused a query.
     pub fn on_refusal(
         &self,
         service: &ServiceName,
@@ -113,19 +113,19 @@
         retry_after: Duration,
     ) {
         let now = self.clock.now();
-        self.with(service, |routes| {
+        self.with_routes(service, |routes| {
             routes.on_refusal(now, place, root, retry_after)
         });
     }
 
-    /// Notes that a root could not be reached.
+    /// Records that a root could not be reached.
     pub fn on_unreachable(&self, service: &ServiceName, place: &PlaceName, root: NodeId) {
         let now = self.clock.now();
-        self.with(service, |routes| routes.on_unreachable(now, place, root));
+        self.with_routes(service, |routes| routes.on_unreachable(now, place, root));
     }
 
-    /// Tells the roots in this place that the leaf at an address is said to be leaving.
-    pub fn leaf_address_leaving(&self, address: SocketAddr) {
+    /// Notifies the roots in this place that the leaf at an address is reported as leaving.
+    pub fn notify_leaf_leaving(&self, address: SocketAddr) {
         let view = self.configuration();
         for (key, placement) in view.placements() {
             if key.place != self.parts.place {
@@ -133,12 +133,12 @@
             }
             let leaf = placement.leafs.iter().find(|leaf| leaf.address == address);
             if let Some(leaf) = leaf {
-                self.tell_roots(key, &leaf.leaf);
+                self.notify_roots(key, &leaf.leaf);
             }
         }
     }
 
-    fn tell_roots(&self, key: &PlacementKey, leaf: &tansylead_types::LeafId) {
+    fn notify_roots(&self, key: &PlacementKey, leaf: &tansylead_types::LeafId) {
         let Some(set) = self.serving_set(key) else {
             return;
         };
@@ -158,17 +158,21 @@
         }
     }
 
-    /// Runs a short function on the refreshed routes of a service.
-    fn with<T>(&self, service: &ServiceName, run: impl FnOnce(&mut ServiceRoutes) -> T) -> T {
+    /// Runs a short function on the up-to-date routes of a service, under their lock.
+    fn with_routes<T>(
+        &self,
+        service: &ServiceName,
+        run: impl FnOnce(&mut ServiceRoutes) -> T,
+    ) -> T {
         let view = self.configuration();
         let members = Arc::clone(&self.parts.members.borrow());
-        let routes = self.service(service);
+        let routes = self.service_routes(service);
         let mut routes = routes.lock();
         routes.refresh(&view, &members);
         run(&mut routes)
     }
 
-    fn service(&self, service: &ServiceName) -> Arc<Mutex<ServiceRoutes>> {
+    fn service_routes(&self, service: &ServiceName) -> Arc<Mutex<ServiceRoutes>> {
         if let Some(known) = self.services.read().get(service) {
             return Arc::clone(known);
         }
--- a/crates/tansylead-daemon/src/routing/service_routes.rs
+++ b/crates/tansylead-daemon/src/routing/service_routes.rs
@@ -11,7 +11,7 @@
 };
 use tansylead_types::{Moment, NodeId, PlaceName, ServiceName, TableRow, TrafficTable};
 
-/// Told to callers when the chosen place has just run out of room.
+/// Retry time given to callers when the chosen place has just run out of room.
 const RETRY_AFTER_WITHOUT_ROOT: Duration = Duration::from_millis(100);
 
 /// Where a query goes.
@@ -24,11 +24,11 @@
         /// The root.
         root: NodeId,
     },
-    /// Nowhere now.
+    /// Nowhere for now.
     Refuse {
         /// Why.
         reason: String,
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
 }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Brings the routes up to date with what is in force.
+    /// Updates the routes to the configuration and members in force.
     pub(super) fn refresh(&mut self, view: &Arc<ConfigurationView>, members: &Arc<MemberView>) {
         let same_view = Arc::ptr_eq(&self.view, view);
         let same_members = Arc::ptr_eq(&self.members, members);
@@ -64,20 +64,20 @@
             return;
         }
         if !Arc::ptr_eq(self.view.table(), view.table()) {
-            self.table = table_of(&self.service, view.table());
+            self.table = service_table(&self.service, view.table());
         }
-        let mut old = std::mem::take(&mut self.sets);
+        let mut previous = std::mem::take(&mut self.sets);
         for (key, placement) in view.placements_of(&self.service) {
             let place = &key.place;
             let candidates = members.candidates(place);
             let inputs = PlaceInputs::new(&self.service, place, placement, &self.table, candidates);
-            let known = old.remove(place);
-            let routes = PlaceRoutes::refreshed(known, &self.service, place, inputs);
+            let known = previous.remove(place);
+            let routes = PlaceRoutes::reuse_or_compute(known, &self.service, place, inputs);
             self.places
                 .set_roots(place, reachable_roots(&routes.set, members));
             self.sets.insert(place.clone(), routes);
         }
-        for place in old.keys() {
+        for place in previous.keys() {
             self.places.set_roots(place, []);
         }
         self.view = Arc::clone(view);
@@ -158,8 +158,8 @@
     if answering.is_empty() { all } else { answering }
 }
 
-/// The rows of one service, so that a query looks at no others.
-fn table_of(service: &ServiceName, table: &TrafficTable) -> TrafficTable {
+/// The rows of one service, so that a query does not scan the others.
+fn service_table(service: &ServiceName, table: &TrafficTable) -> TrafficTable {
     let rows = table.rows.iter().filter(|row| row.service == *service);
     TrafficTable {
         rows: rows.cloned().collect(),
--- a/crates/tansylead-daemon/src/settings.rs
+++ b/crates/tansylead-daemon/src/settings.rs
@@ -6,9 +6,9 @@
 use tansylead_types::Settings;
 use toml::{Table, Value};
 
-/// Shortest and longest accepted periods and limits.
+/// Accepted range of periods and time limits.
 const TIMING_RANGE_MILLIS: std::ops::RangeInclusive<u64> = 1..=86_400_000;
-/// Most worker threads.
+/// Maximum number of worker threads.
 const MAXIMUM_WORKER_THREADS: usize = 1_024;
 
 /// Where a value came from.
@@ -37,29 +37,29 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         cause: String,
     },
     /// The file is not TOML.
     #[error("{source_of_value}: not valid TOML: {cause}")]
     NotToml {
-        /// Where.
+        /// Where the settings came from.
         source_of_value: SettingsSource,
-        /// What the library says.
+        /// Error of the TOML library.
         cause: String,
     },
-    /// A key is unknown, missing or has a value of the wrong form.
+    /// A key is unknown, missing or has a value of the wrong type or format.
     #[error("{source_of_value}: {cause}")]
     Invalid {
-        /// Where.
+        /// Where the settings came from.
         source_of_value: SettingsSource,
-        /// What the library says; names the key and the value.
+        /// Error of the TOML library, with the key and the value.
         cause: String,
     },
-    /// A value has the right form but makes no sense.
+    /// A value has the right type but is not allowed.
     #[error("{source_of_value}: {key} = {value}: {cause}")]
-    Impossible {
-        /// Where.
+    ValueNotAllowed {
+        /// Where the settings came from.
         source_of_value: SettingsSource,
         /// The key.
         key: &'static str,
@@ -70,7 +70,7 @@
     },
 }
 
-/// Values from flags, by dotted key as in the file. They win over the file.
+/// Values from flags, by dotted key as in the file. They override the file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SettingsOverrides {
     values: Vec<SettingsOverride>,
@@ -142,7 +142,7 @@
     };
     overrides.apply(&mut table);
     let settings = decode(table, &source)?;
-    check(&settings, &source)?;
+    check_settings(&settings, &source)?;
     Ok(settings)
 }
 
@@ -166,7 +166,7 @@
     })
 }
 
-/// The library's message names the key; this adds the value found there.
+/// Adds the value to the TOML library's message, which names only the key.
 fn with_value(message: &str, table: &Table) -> String {
     let message = message.trim_end();
     let quoted = message.lines().find_map(|line| {
@@ -196,15 +196,16 @@
     Some(format!("{key} = {value}"))
 }
 
-fn check(settings: &Settings, source: &SettingsSource) -> Result<(), SettingsError> {
-    let impossible = |key: &'static str, value: String, cause: &str| SettingsError::Impossible {
-        source_of_value: source.clone(),
-        key,
-        value,
-        cause: cause.to_owned(),
-    };
+fn check_settings(settings: &Settings, source: &SettingsSource) -> Result<(), SettingsError> {
+    let not_allowed =
+        |key: &'static str, value: String, cause: &str| SettingsError::ValueNotAllowed {
+            source_of_value: source.clone(),
+            key,
+            value,
+            cause: cause.to_owned(),
+        };
     if settings.cluster.trim().is_empty() {
-        return Err(impossible(
+        return Err(not_allowed(
             "cluster",
             format!("{:?}", settings.cluster),
             "must not be empty",
@@ -212,11 +213,11 @@
     }
     if settings.log_level.parse::<log::LevelFilter>().is_err() {
         let cause = "use error, warn, info, debug or trace";
-        return Err(impossible("log_level", settings.log_level.clone(), cause));
+        return Err(not_allowed("log_level", settings.log_level.clone(), cause));
     }
     if settings.peer_address.ip().is_unspecified() {
         let cause = "other daemons must be able to reach this address; it cannot be a wildcard";
-        return Err(impossible(
+        return Err(not_allowed(
             "peer_address",
             settings.peer_address.to_string(),
             cause,
@@ -224,7 +225,7 @@
     }
     if settings.store_address.port() == 0 {
         let cause = "port 0 cannot be reached";
-        return Err(impossible(
+        return Err(not_allowed(
             "store_address",
             settings.store_address.to_string(),
             cause,
@@ -232,18 +233,18 @@
     }
     if !(1..=MAXIMUM_WORKER_THREADS).contains(&settings.worker_threads) {
         let cause = format!("must be between 1 and {MAXIMUM_WORKER_THREADS}");
-        return Err(impossible(
+        return Err(not_allowed(
             "worker_threads",
             settings.worker_threads.to_string(),
             &cause,
         ));
     }
-    check_timing(settings, &impossible)
+    check_timing(settings, &not_allowed)
 }
 
 fn check_timing(
     settings: &Settings,
-    impossible: &impl Fn(&'static str, String, &str) -> SettingsError,
+    not_allowed: &impl Fn(&'static str, String, &str) -> SettingsError,
 ) -> Result<(), SettingsError> {
     let timing = &settings.timing;
     let values = [
@@ -257,18 +258,18 @@
         if !TIMING_RANGE_MILLIS.contains(&value) {
             let (low, high) = (TIMING_RANGE_MILLIS.start(), TIMING_RANGE_MILLIS.end());
             let cause = format!("must be between {low} and {high} ms");
-            return Err(impossible(key, value.to_string(), &cause));
+            return Err(not_allowed(key, value.to_string(), &cause));
         }
     }
     if timing.health_period_millis >= timing.leaving_grace_millis {
         let cause = "must be less than timing.leaving_grace_millis";
         let value = timing.health_period_millis.to_string();
-        return Err(impossible("timing.health_period_millis", value, cause));
+        return Err(not_allowed("timing.health_period_millis", value, cause));
     }
     if timing.clock_skew_millis >= timing.longest_expiry_millis {
         let cause = "must be less than timing.longest_expiry_millis";
         let value = timing.clock_skew_millis.to_string();
-        return Err(impossible("timing.clock_skew_millis", value, cause));
+        return Err(not_allowed("timing.clock_skew_millis", value, cause));
     }
     Ok(())
 }
--- a/crates/tansylead-daemon/src/state.rs
+++ b/crates/tansylead-daemon/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of one daemon share: readiness, status and metrics.
+//! State that the parts of one daemon share: readiness, status and metrics.
 
 use crate::clock::Clock;
 use crate::cluster::{ClusterHandle, ClusterStatus, MemberView};
@@ -15,7 +15,7 @@
 use tansylead_types::{Moment, ObjectKey, ServiceName, Settings};
 use tokio::sync::watch;
 
-/// What the state is read from.
+/// Sources of the daemon's state.
 #[derive(Debug)]
 pub struct StateParts {
     /// Settings.
@@ -30,9 +30,9 @@
     pub cluster_status: watch::Receiver<Arc<ClusterStatus>>,
     /// The cluster task.
     pub cluster: ClusterHandle,
-    /// Own roots.
+    /// Roots of this daemon.
     pub roots: RootDirectory,
-    /// Where queries go.
+    /// Routes of queries.
     pub routes: Arc<Routes>,
 }
 
@@ -81,26 +81,26 @@
         self.metrics().draining.set(1);
     }
 
-    /// Whether queries of callers that still come, long into a planned stop, are refused.
+    /// Whether new queries of callers are refused, as they are late in a planned stop.
     pub fn is_refusing(&self) -> bool {
         self.refusing.load(Ordering::Acquire)
     }
 
-    /// Refuses queries of callers from now on.
+    /// Refuses new queries of callers from now on.
     pub fn set_refusing(&self) {
         self.refusing.store(true, Ordering::Release);
     }
 
     /// Counts a query as in progress until the guard is dropped.
-    pub fn query_started(&self) -> InProgress {
-        InProgress::new(&self.metrics().queries_in_progress)
+    pub fn count_query(&self) -> GaugeGuard {
+        GaugeGuard::new(&self.metrics().queries_in_progress)
     }
 
     /// Counts a query of another frontend as in progress until the guard is dropped.
-    pub fn forwarded_query_started(&self) -> InProgress {
+    pub fn count_forwarded_query(&self) -> GaugeGuard {
         let now = self.clock.now();
         self.last_forwarded_micros.store(now.0, Ordering::Relaxed);
-        self.query_started()
+        self.count_query()
     }
 
     /// When the last query of another frontend arrived.
@@ -108,12 +108,12 @@
         Moment(self.last_forwarded_micros.load(Ordering::Relaxed))
     }
 
-    /// Queries in progress, for own callers and for other frontends.
+    /// Queries in progress, for this daemon's callers and for other frontends.
     pub fn queries_in_progress(&self) -> i64 {
         self.metrics().queries_in_progress.get()
     }
 
-    /// Whether callers should come here, and why not.
+    /// Whether callers should send queries to this daemon, and if not, why.
     pub async fn readiness(&self) -> Readiness {
         let mut reasons = Vec::new();
         if self.is_draining() {
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Whether all own roots could at some time use their whole shares. Only the start waits for
-    /// it; later changes of the serving sets do not make a daemon unready.
+    /// Whether all roots of this daemon could use their whole shares at some time. Only startup
+    /// waits for it; later changes of the serving sets do not make a daemon unready.
     async fn shares_have_been_in_force(&self) -> bool {
         if self.shares_were_in_force.load(Ordering::Relaxed) {
             return true;
@@ -154,7 +154,7 @@
         true
     }
 
-    /// Whether other daemons run that are not leaving.
+    /// Whether there are other running daemons that are not leaving.
     pub fn has_peers(&self) -> bool {
         let members = self.parts.members.borrow();
         let own_node = self.parts.routes.own_node();
@@ -162,14 +162,14 @@
     }
 
     /// Waits until another run of a daemon holds this daemon's address.
-    pub async fn replaced(&self) {
+    pub async fn wait_until_replaced(&self) {
         let mut status = self.parts.cluster_status.clone();
         if status.wait_for(|status| status.replaced).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Brings gauges that are read rather than counted up to date.
+    /// Updates the gauges that are read from the state instead of counted.
     pub fn refresh_metrics(&self) {
         let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         let view = Arc::clone(&self.parts.configuration.borrow());
@@ -183,11 +183,11 @@
             .set(gauge(status.counters.suspicions_raised));
     }
 
-    /// The state in full.
+    /// The full state.
     pub async fn status(&self) -> DaemonStatus {
         let view = Arc::clone(&self.parts.configuration.borrow());
         let cluster = Arc::clone(&self.parts.cluster_status.borrow());
-        let mut services = self.configured_services(&view);
+        let mut services = self.service_statuses(&view);
         for (key, root) in self.parts.roots.all() {
             let service = services.get_mut(&key.service);
             if let Some(place) = service.and_then(|service| service.places.get_mut(&key.place)) {
@@ -203,7 +203,7 @@
             peer_address: settings.peer_address,
             readiness: self.readiness().await,
             members: cluster.running,
-            store: store_text(&cluster.store),
+            store: describe_store(&cluster.store),
             revision: view.revision(),
             table_generation: view.generation(&ObjectKey::Table),
             claim_view_epoch: view.claim_view().map(|claim_view| claim_view.epoch),
@@ -214,10 +214,7 @@
         }
     }
 
-    fn configured_services(
-        &self,
-        view: &ConfigurationView,
-    ) -> BTreeMap<ServiceName, ServiceStatus> {
+    fn service_statuses(&self, view: &ConfigurationView) -> BTreeMap<ServiceName, ServiceStatus> {
         let mut services = BTreeMap::new();
         for definition in view.services() {
             let key = ObjectKey::Service(definition.service.clone());
@@ -229,7 +226,7 @@
         }
         for (key, placement) in view.placements() {
             if let Some(service) = services.get_mut(&key.service) {
-                let mut place = self.configured_place(view, key);
+                let mut place = self.place_status(view, key);
                 place.leafs = placement.leafs.len();
                 service.places.insert(key.place.clone(), place);
             }
@@ -237,7 +234,7 @@
         services
     }
 
-    fn configured_place(&self, view: &ConfigurationView, key: &PlacementKey) -> PlaceStatus {
+    fn place_status(&self, view: &ConfigurationView, key: &PlacementKey) -> PlaceStatus {
         let hour = self.clock.hour_of_day();
         let row = view.table().row(&key.service, &key.place, hour);
         let object = ObjectKey::Placement(key.service.clone(), key.place.clone());
@@ -254,7 +251,7 @@
     }
 }
 
-fn store_text(state: &StoreState) -> String {
+fn describe_store(state: &StoreState) -> String {
     match state {
         StoreState::NotReading => "not read by this daemon".to_owned(),
         StoreState::Unknown => "first read under way".to_owned(),
@@ -266,14 +263,14 @@
     }
 }
 
-/// Holds a gauge one higher for as long as it lives.
+/// Keeps a gauge incremented by one until it is dropped.
 #[derive(Debug)]
-pub struct InProgress {
+pub struct GaugeGuard {
     gauge: IntGauge,
 }
 
-impl InProgress {
-    /// Raises the gauge.
+impl GaugeGuard {
+    /// Increments the gauge.
     pub fn new(gauge: &IntGauge) -> Self {
         gauge.inc();
         Self {
@@ -282,7 +279,7 @@
     }
 }
 
-impl Drop for InProgress {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         self.gauge.dec();
     }
--- a/crates/tansylead-daemon/src/status.rs
+++ b/crates/tansylead-daemon/src/status.rs
@@ -1,4 +1,4 @@
-//! What `GET /v1/status` answers.
+//! Body of the answer to `GET /v1/status`.
 
 use crate::root::RootStatus;
 use serde::{Deserialize, Serialize};
@@ -13,15 +13,15 @@
     pub version: String,
     /// Cluster name.
     pub cluster: String,
-    /// Place.
+    /// Place of the daemon.
     pub place: PlaceName,
-    /// Zone.
+    /// Zone of the daemon.
     pub zone: ZoneName,
-    /// Peer address.
+    /// Address for other daemons.
     pub peer_address: SocketAddr,
-    /// Whether it takes callers.
+    /// Whether it accepts queries of callers.
     pub readiness: Readiness,
-    /// Running members as this daemon sees them, itself included.
+    /// Number of running members as this daemon sees them, itself included.
     pub members: usize,
     /// What this daemon knows of the store.
     pub store: String,
@@ -31,18 +31,18 @@
     pub table_generation: u64,
     /// Epoch of the claim view in force, if there is one.
     pub claim_view_epoch: Option<u64>,
-    /// Members of that view.
+    /// Number of members of that view.
     pub claim_view_members: usize,
     /// Services.
     pub services: BTreeMap<ServiceName, ServiceStatus>,
 }
 
-/// Whether a daemon takes callers.
+/// Whether a daemon accepts queries of callers.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Readiness {
     /// Whether it is ready.
     pub ready: bool,
-    /// Why not; empty if it is.
+    /// Why it is not ready; empty if it is.
     pub reasons: Vec<String>,
 }
 
@@ -64,7 +64,7 @@
     pub weight: Option<u32>,
     /// Limit of the table row of this hour, queries per second; none without a row.
     pub limit: Option<u32>,
-    /// Leafs.
+    /// Number of leafs.
     pub leafs: usize,
     /// Daemons that are roots.
     pub serving_set: Vec<SocketAddr>,
--- a/crates/tansylead-daemon/src/tuning.rs
+++ b/crates/tansylead-daemon/src/tuning.rs
@@ -10,7 +10,7 @@
 /// Internal limits with defaults for production.
 #[derive(Debug, Clone)]
 pub struct Tuning {
-    /// Mechanisms and sizes of the engines; varied only by experiments.
+    /// Mechanisms and sizes of the query engines; only experiments change them.
     pub engine: EngineTuning,
     /// Idle connections to each leaf that a root tries to keep open.
     pub warm_connections_per_leaf: usize,
@@ -18,7 +18,7 @@
     pub leaf_connect_limit: Duration,
     /// Largest answer accepted from a leaf.
     pub maximum_leaf_answer_bytes: usize,
-    /// A store watch is held this long.
+    /// How long the store may hold a watch request open.
     pub store_watch_wait: Duration,
     /// Membership, except for the periods that operators set.
     pub membership: MembershipSettings,
@@ -30,29 +30,29 @@
     pub peer_client: PeerClientLimits,
     /// Connections from peers.
     pub peer_server: PeerServerLimits,
-    /// Time kept back from a query's deadline for the way to a root of the same place and back.
+    /// Time subtracted from a query's deadline for the round trip to a root in the same place.
     pub forward_allowance_same_place: Duration,
-    /// The same for a root of another place.
+    /// The same for a root in another place.
     pub forward_allowance_other_place: Duration,
-    /// Roots tried for one query at most.
+    /// Maximum number of roots tried for one query.
     pub maximum_roots_tried: usize,
-    /// Length of the burst allowance of admission.
+    /// Burst that admission allows, as a duration at the admitted rate.
     pub admission_burst: Duration,
-    /// Queries waiting for one root at most; more are refused as not run.
+    /// Maximum number of queries waiting for one root; more are refused as not run.
     pub maximum_waiting_commands: usize,
     /// During a planned stop, a connection without requests for this long is closed.
     pub drain_idle: Duration,
-    /// A planned stop takes at least this long, so that all frontends have learned of it: longer
-    /// than [`Tuning::drain_root_hold`].
+    /// Minimum duration of a planned stop, so that all frontends learn of it; longer than
+    /// [`Tuning::drain_root_hold`].
     pub drain_minimum: Duration,
-    /// During a planned stop, queries of callers that still come after this long are refused.
+    /// Time into a planned stop after which new queries of callers are refused.
     pub drain_accept: Duration,
     /// During a planned stop, this daemon stays root for this long while peers learn of it; less
     /// than [`ShareTiming::longest_view_lag`].
     pub drain_root_hold: Duration,
-    /// During a planned stop, others are given this long to take over this daemon's claims.
+    /// During a planned stop, how long this daemon waits for others to take over its claims.
     pub claim_handover_limit: Duration,
-    /// When to come back, if the engine does not say.
+    /// Retry time given to callers if the engine states none.
     pub default_retry_after: Duration,
     /// Time a caller may take to send its headers; idle connections are closed after it.
     pub header_read_limit: Duration,
