--- a/crates/tansylead-daemon/src/configuration/view.rs
+++ b/crates/tansylead-daemon/src/configuration/view.rs
@@ -1,5 +1,5 @@
 //! The configuration in force: an immutable view that is replaced as a whole. It follows the
-//! daemon's replica of the configuration, which never goes back.
+//! daemon's replica of the configuration, which never returns to an older state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Whether nothing was ever put in force.
+    /// Whether no object was ever put in force.
     pub fn is_empty(&self) -> bool {
         self.generations.is_empty()
     }
 
-    /// Objects in force, deleted ones included.
+    /// Number of objects in force, deleted ones included.
     pub fn len(&self) -> usize {
         self.generations.len()
     }
@@ -127,7 +127,7 @@
         &self.table
     }
 
-    /// Claim members.
+    /// The claim view in force.
     pub fn claim_view(&self) -> Option<&Arc<ClaimView>> {
         self.claim_view.as_ref()
     }
--- a/crates/tansylead-daemon/src/http/answer.rs
+++ b/crates/tansylead-daemon/src/http/answer.rs
@@ -1,6 +1,6 @@
-//! From a [`QueryAnswer`] to an HTTP response.
+//! Converts a [`QueryAnswer`] into an HTTP response.
 
-use super::error::{ApiError, whole_millis, whole_seconds};
+use super::error::{ApiError, round_up_millis, round_up_seconds};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -15,26 +15,26 @@
 pub struct AnswerBody {
     /// Echo of the request id.
     pub request: RequestId,
-    /// What happened.
+    /// Outcome of the query.
     pub outcome: Outcome,
     /// The pinned snapshot.
     pub snapshot: Option<SnapshotVersion>,
-    /// True coverage.
+    /// Which shards answered and which are missing.
     pub coverage: Coverage,
     /// Results, ordered by shard.
     pub results: Vec<ResultBody>,
     /// Attempts sent to leafs.
     pub attempts: u32,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// For people.
+    /// Explanation for people.
     pub reason: Option<String>,
 }
 
 /// The answer of one shard.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ResultBody {
-    /// Which shard.
+    /// The shard.
     pub shard: ShardId,
     /// As the leaf returned it.
     pub result: Box<RawValue>,
@@ -71,7 +71,7 @@
         .status(status_of(outcome))
         .header(CONTENT_TYPE, "application/json");
     if let Some(retry_after) = retry_after {
-        builder = builder.header(RETRY_AFTER, whole_seconds(retry_after));
+        builder = builder.header(RETRY_AFTER, round_up_seconds(retry_after));
     }
     builder
         .body(Full::new(Bytes::from(text)))
@@ -96,7 +96,7 @@
         coverage: answer.coverage,
         results,
         attempts: answer.attempts,
-        retry_after_ms: retry_after.map(whole_millis),
+        retry_after_ms: retry_after.map(round_up_millis),
         reason: answer.reason,
     })
 }
--- a/crates/tansylead-daemon/src/http/error.rs
+++ b/crates/tansylead-daemon/src/http/error.rs
@@ -1,4 +1,4 @@
-//! Requests refused before a query was made of them.
+//! Errors of requests that are refused before they become a query.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,13 +14,13 @@
     /// No such path.
     #[error("there is nothing at {path}")]
     UnknownPath {
-        /// The path asked for.
+        /// The requested path.
         path: String,
     },
     /// The path does not take this method.
     #[error("{path} takes {allowed} only")]
     MethodNotAllowed {
-        /// The path asked for.
+        /// The requested path.
         path: String,
         /// The method it takes.
         allowed: &'static str,
@@ -28,19 +28,19 @@
     /// No such service in the configuration in force.
     #[error("there is no service `{service}`")]
     UnknownService {
-        /// The name asked for.
+        /// The requested name.
         service: String,
     },
     /// The body is not of the documented form.
     #[error("the body is not a query: {cause}")]
     MalformedBody {
-        /// In the words of the JSON library.
+        /// Error of the JSON library.
         cause: String,
     },
-    /// The body did not arrive whole.
+    /// The body arrived incomplete.
     #[error("the body did not arrive whole: {cause}")]
     BodyIncomplete {
-        /// In the words of the HTTP library.
+        /// Error of the HTTP library.
         cause: String,
     },
     /// The body is too large.
@@ -84,7 +84,7 @@
     ExpiresTooLate {
         /// The header.
         header: &'static str,
-        /// The most allowed.
+        /// Maximum allowed, in milliseconds from now.
         limit: u64,
     },
     /// The expiry has passed. Nothing runs now; an earlier request with the key may have run.
@@ -96,7 +96,7 @@
     /// This daemon has no configuration yet.
     #[error("this daemon has no configuration yet")]
     NotConfigured {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
     /// A parameter of the path's query has a value that cannot be used.
@@ -107,16 +107,16 @@
         /// What is wrong with it.
         cause: String,
     },
-    /// This daemon has been stopping for long and refuses callers that still come.
+    /// This daemon has been stopping for long and refuses new queries.
     #[error("this daemon is stopping; ask another one")]
     Stopping {
-        /// When to come back, to whatever runs here then.
+        /// When to retry; by then, another daemon may run at this address.
         retry_after: Duration,
     },
-    /// Something that should not happen, after the query may have begun.
+    /// An internal error, possibly after the query has begun.
     #[error("{cause}")]
     Internal {
-        /// What.
+        /// Cause of the error.
         cause: String,
     },
 }
@@ -128,7 +128,7 @@
     pub error: ErrorDetail,
     /// `not_run`, or `unknown` where an earlier request with the same key may have run.
     pub outcome: Outcome,
-    /// When to come back, in milliseconds; absent if the same request can never succeed.
+    /// Time after which to retry, in milliseconds; absent if the same request can never succeed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
@@ -136,9 +136,9 @@
 /// What is wrong.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// One of a closed set, for programs.
+    /// Error code for programs, from a closed set.
     pub code: String,
-    /// For people.
+    /// Explanation for people.
     pub message: String,
 }
 
@@ -203,13 +203,13 @@
                 message: self.to_string(),
             },
             outcome: self.outcome(),
-            retry_after_ms: self.retry_after().map(whole_millis),
+            retry_after_ms: self.retry_after().map(round_up_millis),
         };
         let mut builder = Response::builder()
             .status(self.status())
             .header(CONTENT_TYPE, "application/json");
         if let Some(retry_after) = self.retry_after() {
-            builder = builder.header(RETRY_AFTER, whole_seconds(retry_after));
+            builder = builder.header(RETRY_AFTER, round_up_seconds(retry_after));
         }
         if let ApiError::MethodNotAllowed { allowed, .. } = self {
             builder = builder.header(ALLOW, *allowed);
@@ -222,13 +222,13 @@
 }
 
 /// Milliseconds, rounded up, at least 1.
-pub(super) fn whole_millis(duration: Duration) -> u64 {
+pub(super) fn round_up_millis(duration: Duration) -> u64 {
     let millis = duration.as_micros().div_ceil(1_000).max(1);
     u64::try_from(millis).unwrap_or(u64::MAX)
 }
 
 /// Seconds for `Retry-After`, rounded up, at least 1.
-pub(super) fn whole_seconds(duration: Duration) -> u64 {
+pub(super) fn round_up_seconds(duration: Duration) -> u64 {
     let seconds = duration.as_millis().div_ceil(1_000).max(1);
     u64::try_from(seconds).unwrap_or(u64::MAX)
 }
--- a/crates/tansylead-daemon/src/http/in_force.rs
+++ b/crates/tansylead-daemon/src/http/in_force.rs
@@ -1,13 +1,13 @@
 //! `GET /v1/in-force`: on which daemons a store revision is in force. Parameters: `revision`, and
-//! `wait_ms` for how long to wait for it.
+//! `wait_ms`, how long to wait for it.
 
 use super::error::ApiError;
 use std::time::Duration;
 use tansylead_cluster::spread::InForceReport;
 use tansylead_types::in_force::InForceAnswer;
 
-/// Longest wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(120);
+/// Maximum wait.
+const MAXIMUM_WAIT: Duration = Duration::from_secs(120);
 /// Wait if the caller states none.
 const DEFAULT_WAIT: Duration = Duration::from_secs(1);
 
@@ -20,19 +20,19 @@
 
 impl InForceQuery {
     pub(super) fn parse(query: &str) -> Result<Self, ApiError> {
-        let revision = number(query, "revision")?.ok_or(ApiError::MalformedParameter {
+        let revision = parse_number(query, "revision")?.ok_or(ApiError::MalformedParameter {
             parameter: "revision",
             cause: "missing".to_owned(),
         })?;
-        let wait = number(query, "wait_ms")?.map(Duration::from_millis);
+        let wait = parse_number(query, "wait_ms")?.map(Duration::from_millis);
         Ok(Self {
             revision,
-            wait: wait.unwrap_or(DEFAULT_WAIT).min(LONGEST_WAIT),
+            wait: wait.unwrap_or(DEFAULT_WAIT).min(MAXIMUM_WAIT),
         })
     }
 }
 
-fn number(query: &str, parameter: &'static str) -> Result<Option<u64>, ApiError> {
+fn parse_number(query: &str, parameter: &'static str) -> Result<Option<u64>, ApiError> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let mut values = pairs.filter(|(name, _)| *name == parameter);
     let Some((_, value)) = values.next() else {
@@ -47,8 +47,8 @@
         })
 }
 
-/// The report, as it is answered.
-pub(super) fn answer_of(revision: u64, report: InForceReport) -> InForceAnswer {
+/// Body of the answer for a report.
+pub(super) fn report_answer(revision: u64, report: InForceReport) -> InForceAnswer {
     InForceAnswer {
         revision,
         confirmed: report.confirmed,
--- a/crates/tansylead-daemon/src/http/mod.rs
+++ b/crates/tansylead-daemon/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' interface: HTTP/1.1, JSON. Described in `docs/API.md`.
+//! Interface for callers: JSON over HTTP/1.1, described in `docs/API.md`.
 
 mod answer;
 mod error;
--- a/crates/tansylead-daemon/src/http/query_request.rs
+++ b/crates/tansylead-daemon/src/http/query_request.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to a [`QueryRequest`].
+//! Converts an HTTP request into a [`QueryRequest`].
 
 use super::error::ApiError;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -18,9 +18,9 @@
 pub const DEADLINE_HEADER: &str = "tansylead-deadline-ms";
 /// Header: the caller's id of the request, echoed in the answer.
 pub const REQUEST_ID_HEADER: &str = "tansylead-request-id";
-/// Header: makes the request non-repeatable and names it.
+/// Header: makes the request non-repeatable and identifies it.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Header: unix milliseconds after which the request must not run any more.
+/// Header: time in Unix milliseconds after which the request must not run.
 pub const EXPIRES_HEADER: &str = "tansylead-expires";
 
 /// Body of a query.
@@ -29,12 +29,12 @@
 pub struct QueryBody {
     /// Passed to leafs unchanged.
     pub query: Box<RawValue>,
-    /// If present only the shard that owns this key is asked.
+    /// If present, only the shard that owns this key is queried.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub routing_key: Option<String>,
 }
 
-/// Everything in a request's headers, checked.
+/// The validated headers of a request.
 #[derive(Debug)]
 pub(super) struct QueryHeaders {
     request: RequestId,
@@ -51,10 +51,10 @@
     ) -> Result<Self, ApiError> {
         let request = match parse_header::<RequestId>(headers, REQUEST_ID_HEADER)? {
             Some(request) => request,
-            None => generated_name(REQUEST_ID_HEADER)?,
+            None => generate_name(REQUEST_ID_HEADER)?,
         };
-        let time_left = deadline(headers, definition)?;
-        let repeatability = repeatability(headers, definition, timing, now, time_left)?;
+        let time_left = parse_deadline(headers, definition)?;
+        let repeatability = parse_repeatability(headers, definition, timing, now, time_left)?;
         Ok(Self {
             request,
             time_left,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads and checks the body.
+/// Reads and validates the body.
 pub(super) async fn read_body(
     body: Incoming,
     definition: &ServiceDefinition,
@@ -110,7 +110,10 @@
     })
 }
 
-fn deadline(headers: &HeaderMap, definition: &ServiceDefinition) -> Result<Duration, ApiError> {
+fn parse_deadline(
+    headers: &HeaderMap,
+    definition: &ServiceDefinition,
+) -> Result<Duration, ApiError> {
     let policy = &definition.policy;
     let Some(millis) = parse_header::<u64>(headers, DEADLINE_HEADER)? else {
         return Ok(Duration::from_millis(policy.default_deadline_millis));
@@ -126,7 +129,7 @@
     })
 }
 
-fn repeatability(
+fn parse_repeatability(
     headers: &HeaderMap,
     definition: &ServiceDefinition,
     timing: &TimingSettings,
@@ -137,10 +140,10 @@
     let key = parse_header::<IdempotencyKey>(headers, IDEMPOTENCY_KEY_HEADER)?;
     match (key, expires) {
         (None, _) if definition.policy.repeatable => Ok(Repeatability::Repeatable),
-        // Nobody else can know this key, so it need not outlive the query.
+        // Nobody else knows this key, so it need not outlive the query.
         (None, _) => Ok(Repeatability::NonRepeatable {
-            key: generated_name(IDEMPOTENCY_KEY_HEADER)?,
-            expires: after(
+            key: generate_name(IDEMPOTENCY_KEY_HEADER)?,
+            expires: add_duration(
                 now,
                 time_left + Duration::from_millis(timing.clock_skew_millis),
             ),
@@ -161,13 +164,13 @@
     timing: &TimingSettings,
     now: WallTime,
 ) -> Result<(), ApiError> {
-    let longest = Duration::from_millis(timing.longest_expiry_millis + timing.clock_skew_millis);
+    let maximum = Duration::from_millis(timing.longest_expiry_millis + timing.clock_skew_millis);
     if expires <= now {
         return Err(ApiError::Expired {
             header: EXPIRES_HEADER,
         });
     }
-    if expires > after(now, longest) {
+    if expires > add_duration(now, maximum) {
         return Err(ApiError::ExpiresTooLate {
             header: EXPIRES_HEADER,
             limit: timing.longest_expiry_millis,
@@ -176,7 +179,7 @@
     Ok(())
 }
 
-fn after(now: WallTime, duration: Duration) -> WallTime {
+fn add_duration(now: WallTime, duration: Duration) -> WallTime {
     let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     WallTime(now.0.saturating_add(millis))
 }
@@ -206,7 +209,7 @@
 }
 
 /// A random 128-bit name.
-fn generated_name<T: FromStr>(header: &'static str) -> Result<T, ApiError>
+fn generate_name<T: FromStr>(header: &'static str) -> Result<T, ApiError>
 where
     T::Err: std::fmt::Display,
 {
--- a/crates/tansylead-daemon/src/http/router.rs
+++ b/crates/tansylead-daemon/src/http/router.rs
@@ -1,8 +1,8 @@
-//! Takes a request to what answers it.
+//! Routes HTTP requests to their handlers.
 
 use super::answer::{self, outcome_label};
 use super::error::ApiError;
-use super::in_force::{InForceQuery, answer_of};
+use super::in_force::{InForceQuery, report_answer};
 use super::query_request::{QueryHeaders, read_body};
 use crate::clock::Clock;
 use crate::frontend::Frontend;
@@ -22,7 +22,8 @@
 
 const QUERY_PATH_PREFIX: &str = "/v1/services/";
 const QUERY_PATH_SUFFIX: &str = "/query";
-/// Told to callers that come long into a planned stop; longer than the quiet that ends the stop.
+/// Retry time given to callers late in a planned stop; longer than the idle time that ends the
+/// stop.
 const RETRY_AFTER_STOPPING: Duration = Duration::from_secs(5);
 
 /// Answers the requests of one daemon's callers.
@@ -35,7 +36,7 @@
 }
 
 impl Router {
-    /// A router for a daemon.
+    /// A router of a daemon.
     pub fn new(state: Arc<DaemonState>, frontend: Frontend, timing: TimingSettings) -> Self {
         Self {
             state,
@@ -117,7 +118,7 @@
             .in_force(query.revision, query.wait)
             .await;
         let report = report.ok_or_else(|| internal("the cluster task has ended"))?;
-        json(StatusCode::OK, &answer_of(query.revision, report))
+        json(StatusCode::OK, &report_answer(query.revision, report))
     }
 
     fn metrics_text(&self) -> Result<Response<Full<Bytes>>, ApiError> {
@@ -145,7 +146,7 @@
         let query = headers.into_request(&definition, body);
         let _in_progress = self.state.count_query();
         let answer = self.frontend.execute(query, deadline).await;
-        self.count(&answer, &definition, arrived);
+        self.count_answer(&answer, &definition, arrived);
         answer::response(answer)
     }
 
@@ -166,7 +167,7 @@
         Err(unknown())
     }
 
-    fn count(&self, answer: &QueryAnswer, definition: &ServiceDefinition, arrived: Moment) {
+    fn count_answer(&self, answer: &QueryAnswer, definition: &ServiceDefinition, arrived: Moment) {
         let service = definition.service.as_str();
         let outcome = outcome_label(answer.outcome);
         let elapsed = self.clock.now().since(arrived).as_secs_f64();
--- a/crates/tansylead-daemon/src/http/server.rs
+++ b/crates/tansylead-daemon/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Listens to callers, and stops listening without cutting any request.
+//! Accepts connections of callers, and stops accepting without interrupting any request.
 
 use super::router::Router;
 use crate::clock::Clock;
@@ -15,9 +15,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// Pause after a failed accept (for example: no file descriptors left).
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Period at which the end of a planned stop is looked for.
+/// Delay after a failed accept (for example: no file descriptors left).
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Period of checking whether a planned stop can end.
 const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(50);
 
 /// Time limits of the server.
@@ -29,7 +29,7 @@
     pub drain_idle: Duration,
     /// During a planned stop, connections are accepted for at least this long.
     pub drain_minimum: Duration,
-    /// During a planned stop, queries that still come after this long are refused.
+    /// Time into a planned stop after which new queries are refused.
     pub drain_accept: Duration,
 }
 
@@ -73,7 +73,7 @@
         address.map_err(|cause| StepError::new("listen for callers", "own socket", cause))
     }
 
-    /// Serves until `drain` is cancelled, then until everything open has been answered.
+    /// Serves until `drain` is cancelled, then until all open requests have been answered.
     pub async fn run(self, drain: CancellationToken) {
         loop {
             tokio::select! {
@@ -84,9 +84,9 @@
         self.drain().await;
     }
 
-    /// Goes on accepting and serving, each answer with `Connection: close`, until nothing has
-    /// arrived for a while and nothing is open. Callers that come on and on are at last refused,
-    /// with a time to come back, so that there is a quiet moment in which nothing is cut.
+    /// Keeps accepting and serving, each answer with `Connection: close`, until no query has
+    /// arrived for a while and none is open. Callers that keep sending queries are eventually
+    /// refused with a retry time, so that an idle moment comes in which no request is interrupted.
     async fn drain(self) {
         let started = self.clock.now();
         loop {
@@ -97,7 +97,7 @@
             if self.clock.now().since(started) >= self.limits.drain_accept {
                 self.state.set_refusing();
             }
-            if self.is_quiet(started) {
+            if self.can_stop(started) {
                 break;
             }
         }
@@ -108,7 +108,7 @@
         }
     }
 
-    fn is_quiet(&self, drain_started: Moment) -> bool {
+    fn can_stop(&self, drain_started: Moment) -> bool {
         let now = self.clock.now();
         let idle_for = now.since(*self.last_request.lock());
         let connections = self.state.metrics().caller_connections.get();
@@ -121,7 +121,7 @@
     async fn on_accept(&self, accepted: std::io::Result<(TcpStream, SocketAddr)>) {
         match accepted {
             Ok((stream, _)) => self.serve(stream),
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 
@@ -148,7 +148,7 @@
             let _open = open;
             tokio::pin!(connection);
             tokio::select! {
-                // Failures of a caller's connection concern that caller alone.
+                // Failures of a caller's connection affect that caller only.
                 _ = connection.as_mut() => return,
                 () = close_idle.cancelled() => {}
             }
--- a/crates/tansylead-daemon/src/leaf/attempt.rs
+++ b/crates/tansylead-daemon/src/leaf/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: one shard of one query, asked once.
+//! One attempt: a request for one shard of one query, sent at most once.
 
 use crate::clock::Clock;
 use bytes::Bytes;
@@ -20,16 +20,16 @@
 pub struct QueryContext {
     /// The request as the caller made it.
     pub request: QueryRequest,
-    /// Distinguishes this process and query in leaf requests.
+    /// Identifies this run of the daemon in leaf requests.
     pub root: String,
 }
 
-/// Where and how to send.
+/// Where and how to send attempts.
 #[derive(Debug, Clone)]
 pub struct LeafTarget {
     /// Address of the leaf.
     pub address: SocketAddr,
-    /// Bound on connections.
+    /// Limits the number of connections to the leaf.
     pub permits: Arc<Semaphore>,
     /// Time allowed for connecting.
     pub connect_limit: Duration,
@@ -75,7 +75,8 @@
     let Some(mut connection) = usable_connection(idle, &target, time_left).await else {
         return AttemptEnd::without_connection(AttemptResult::NotSent);
     };
-    // Last act before the request is handed over: a process paused until now must not send.
+    // Checks the time last, right before the request is handed over: a process that was paused
+    // until now must not send.
     let Some(request) = build_request(&context, &attempt, &target) else {
         return AttemptEnd {
             result: AttemptResult::Expired,
@@ -87,7 +88,7 @@
     match tokio::time::timeout(time_left, exchange).await {
         Ok(Ok(reply)) => {
             let result = interpret(&context, &attempt, &reply);
-            let connection = is_matched(&result, &attempt).then_some(connection);
+            let connection = is_connection_reusable(&result, &attempt).then_some(connection);
             AttemptEnd { result, connection }
         }
         Ok(Err(ExchangeError::NotWritten(_))) => {
@@ -101,7 +102,7 @@
 
 /// Whether the connection delivered the reply to this very attempt. A connection that delivered
 /// anything else is not used again.
-fn is_matched(result: &AttemptResult, attempt: &SendAttempt) -> bool {
+fn is_connection_reusable(result: &AttemptResult, attempt: &SendAttempt) -> bool {
     match result {
         AttemptResult::Answered(answer) => {
             answer.query == attempt.query && answer.attempt == attempt.attempt
@@ -131,7 +132,7 @@
     connection.is_usable().await.then_some(connection)
 }
 
-/// The HTTP request; none if the deadline or the expiry has passed.
+/// The HTTP request; `None` if the deadline or the expiry has passed.
 fn build_request(
     context: &QueryContext,
     attempt: &SendAttempt,
@@ -167,7 +168,8 @@
     )
 }
 
-/// Whether the expiry of a non-repeatable request, less the allowance for clock skew, is ahead.
+/// Whether the expiry of a non-repeatable request, less the allowance for clock skew, lies in the
+/// future.
 fn may_dispatch(expires: Option<WallTime>, target: &LeafTarget) -> bool {
     expires.is_none_or(|expires| {
         check_before_dispatch(expires, target.clock.wall(), &target.claim_settings).is_ok()
@@ -191,7 +193,7 @@
         .ok()
 }
 
-/// Turns a whole reply into a result. Anything that is not a proper answer or a proper refusal to
+/// Converts a complete reply into a result. Anything but a valid answer to or a valid refusal of
 /// this very attempt counts as failed: the leaf may have run it.
 fn interpret(context: &QueryContext, attempt: &SendAttempt, reply: &Reply) -> AttemptResult {
     match reply.status {
--- a/crates/tansylead-daemon/src/leaf/health.rs
+++ b/crates/tansylead-daemon/src/leaf/health.rs
@@ -1,4 +1,4 @@
-//! Polling of one leaf's health endpoint. What it says may lag or lie; the engine weighs it.
+//! Polling of one leaf's health endpoint. Its reports may be late or wrong; the engine weighs them.
 
 use crate::leaf::attempt::{LeafTarget, leaf_request, usable_connection};
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 /// How a poll ended.
 #[derive(Debug, Default)]
 pub struct HealthPoll {
-    /// The report; none if the leaf gave no proper one within the limit.
+    /// The report; `None` if the leaf gave no valid one within the limit.
     pub report: Option<LeafHealth>,
     /// Open connection on which nothing is in progress.
     pub connection: Option<HttpConnection>,
--- a/crates/tansylead-daemon/src/leaf/pool.rs
+++ b/crates/tansylead-daemon/src/leaf/pool.rs
@@ -1,4 +1,5 @@
-//! Idle connections to one leaf, bounded and warmed. Owned by one root; no locks.
+//! Connections to one leaf: bounded in number, reused, and opened ahead of need. Owned by one root,
+//! so without locks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,12 +33,12 @@
         self.address
     }
 
-    /// Most connections at once.
+    /// Maximum number of connections at once.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Connections open or being opened.
+    /// Number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.capacity - self.permits.available_permits()
     }
@@ -52,7 +53,7 @@
         None
     }
 
-    /// Leave to open one more connection; none when the bound is reached.
+    /// Permission to open one more connection; `None` if the limit is reached.
     pub fn permit(&self) -> Option<OwnedSemaphorePermit> {
         Arc::clone(&self.permits).try_acquire_owned().ok()
     }
@@ -62,25 +63,25 @@
         Arc::clone(&self.permits)
     }
 
-    /// Takes back a connection whose last answer was read whole.
+    /// Takes back a connection whose last answer was read completely.
     pub fn give_back(&mut self, connection: HttpConnection) {
         if !connection.is_closed() {
             self.idle.push(connection);
         }
     }
 
-    /// Permits for the connections to open now so that `wanted` are idle or being opened.
-    pub fn permits_to_warm(&mut self, wanted: usize) -> Vec<OwnedSemaphorePermit> {
+    /// Permits for the connections to open now so that `target` are idle or being opened.
+    pub fn permits_to_warm(&mut self, target: usize) -> Vec<OwnedSemaphorePermit> {
         self.idle.retain(|connection| !connection.is_closed());
         let present = self.open_connections().max(self.idle.len() + self.warming);
-        let missing = wanted.min(self.capacity).saturating_sub(present);
+        let missing = target.min(self.capacity).saturating_sub(present);
         let permits: Vec<_> = (0..missing).map_while(|_| self.permit()).collect();
         self.warming += permits.len();
         permits
     }
 
-    /// Notes the end of one warming.
-    pub fn warmed(&mut self, connection: Option<HttpConnection>) {
+    /// Records the end of opening one connection ahead of need.
+    pub fn on_warmed(&mut self, connection: Option<HttpConnection>) {
         self.warming = self.warming.saturating_sub(1);
         if let Some(connection) = connection {
             self.give_back(connection);
--- a/crates/tansylead-daemon/src/peers/server.rs
+++ b/crates/tansylead-daemon/src/peers/server.rs
@@ -22,7 +22,7 @@
 type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// Pause after a failed accept (for example: no file descriptors left).
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// What the daemon does with requests of peers.
 pub trait PeerHandler: Send + Sync + 'static {
@@ -95,7 +95,7 @@
                         let (local, traffic) = (self.local.clone(), self.traffic.clone());
                         connections.spawn(serve(stream, local, limits, handler, traffic));
                     }
-                    Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                    Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 },
                 // Failures of one peer's connection concern that peer alone.
                 Some(_) = connections.join_next() => {}
--- a/crates/tansylead-daemon/src/root/actor/attempts.rs
+++ b/crates/tansylead-daemon/src/root/actor/attempts.rs
@@ -1,8 +1,8 @@
 //! Feeds the engine and performs its actions: sends and cancels attempts, answers queries.
 //!
-//! Invariants: each attempt that the engine asks for ends with one completion, also one that could
-//! not be sent, unless it is cancelled; a connection that an attempt has left usable goes back to
-//! its leaf's pool before the engine hears of the end.
+//! Invariants: each attempt that the engine requests ends with one completion unless it is
+//! cancelled, including an attempt that could not be sent; a connection that is still usable after
+//! an attempt returns to its leaf's pool before the engine is told of the end.
 
 use super::{AttemptCompletion, Completion, Root};
 use crate::leaf::attempt::{AttemptEnd, run_attempt};
@@ -24,7 +24,7 @@
                 RootAction::Send(attempt) => self.send(attempt),
                 RootAction::Cancel { query, attempt } => {
                     self.metrics.cancels.inc();
-                    self.queries.attempt_over(query, attempt);
+                    self.queries.remove_attempt(query, attempt);
                 }
                 RootAction::Finish { query, answer } => self.finish(query, answer),
             }
@@ -70,10 +70,10 @@
             report(run_attempt(context, attempt, idle, target).await);
         });
         self.queries
-            .attempt_started(query, attempt_id, task.abort_handle());
+            .add_attempt(query, attempt_id, task.abort_handle());
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt.
     pub(super) fn on_attempt_ended(&mut self, ended: AttemptCompletion) {
         let AttemptCompletion {
             query,
@@ -83,13 +83,13 @@
             end,
         } = ended;
         self.metrics.count_end(&end.result);
-        self.queries.attempt_over(query, attempt);
+        self.queries.remove_attempt(query, attempt);
         if let Some(state) = self.leafs.get_mut(&leaf) {
             if matches!(
                 end.result,
                 AttemptResult::Answered(_) | AttemptResult::Refused(_)
             ) {
-                state.last_heard = self.clock.now();
+                state.last_response = self.clock.now();
             }
             if let Some(connection) = end.connection {
                 state.pool.give_back(connection);
--- a/crates/tansylead-daemon/src/root/actor/commands.rs
+++ b/crates/tansylead-daemon/src/root/actor/commands.rs
@@ -1,4 +1,4 @@
-//! What the handles of a root ask for.
+//! Handles the commands from the handles of a root.
 //!
 //! Invariants: the engine knows the root's share of the admission rate before it decides about a
 //! query; a query whose caller is gone by then is not started.
@@ -11,8 +11,8 @@
 use tansylead_query::{LeafStatus, RootEvent, StartQuery};
 use tokio::sync::oneshot;
 
-/// Roots among which the engine divides the slots of a leaf.
-const UNDIVIDED_SLOTS: u32 = 1;
+/// Number of roots among which the engine divides the slots of a leaf.
+const ROOTS_SHARING_SLOTS: u32 = 1;
 
 impl Root {
     /// Carries out one command.
@@ -71,7 +71,7 @@
         self.perform(actions);
         // Each root may use all slots of a leaf; where roots compete, the leaf's own queue decides.
         // Equal shares of 3 to 5 slots would leave a third of them unused.
-        let actions = self.engine.set_leaf_share(now, UNDIVIDED_SLOTS);
+        let actions = self.engine.set_leaf_share(now, ROOTS_SHARING_SLOTS);
         self.perform(actions);
     }
 
@@ -98,7 +98,7 @@
             usable_rate: report.usable_rate,
             admitted_rate: self.shares.admitted_rate(now),
             coverage: self.coverage,
-            share_in_force: self.shares.is_full(now),
+            share_in_force: self.shares.is_whole_share_usable(now),
         }
     }
 }
--- a/crates/tansylead-daemon/src/root/actor/mod.rs
+++ b/crates/tansylead-daemon/src/root/actor/mod.rs
@@ -1,9 +1,9 @@
 //! The task of one root.
 //!
-//! This file owns the task's state and its event loop: it takes commands, the reports of the
-//! root's own tasks and due timers one at a time. The modules below each have one part:
+//! This file owns the task's state and its event loop: it handles commands, the reports of the
+//! root's own tasks and due timers one at a time. Each of the modules below has one part:
 //!
-//! - `commands`: what handles ask for: queries, configuration, status;
+//! - `commands`: the commands from handles: queries, configuration, status;
 //! - `attempts`: feeds the engine and performs its actions: attempts at leafs and answers;
 //! - `polls`: health polls of the leafs and connections opened ahead of need.
 //!
@@ -38,7 +38,7 @@
 use tansylead_types::{AttemptId, InstanceId, LeafId, Moment, QueryId};
 use tokio::sync::mpsc;
 
-/// Messages taken in one go before timers are looked at again.
+/// Maximum number of messages handled before timers are checked again.
 const MESSAGES_PER_TURN: usize = 64;
 
 /// Which root this is.
@@ -48,7 +48,7 @@
     pub instance: InstanceId,
     /// The service and the place.
     pub key: PlacementKey,
-    /// Feeds random choices.
+    /// Seed of random choices.
     pub seed: u64,
 }
 
@@ -57,7 +57,7 @@
 pub struct RootContext {
     /// Period of health polls.
     pub health_period: Duration,
-    /// A leaf that says that it is leaving gets no new work after this.
+    /// A leaf that reports that it is leaving gets no new work after this time.
     pub leaving_grace: Duration,
     /// Internal limits.
     pub tuning: Arc<Tuning>,
@@ -76,7 +76,7 @@
     Attempt(AttemptCompletion),
     /// A health poll has ended.
     Health { leaf: LeafId, poll: HealthPoll },
-    /// A connection opened ahead of need; absent if it could not be opened.
+    /// A connection opened ahead of need; `None` if it could not be opened.
     Warmed {
         leaf: LeafId,
         connection: Option<HttpConnection>,
@@ -142,7 +142,7 @@
     leafs: RootLeafs,
     queries: ActiveQueries,
     completions: mpsc::UnboundedSender<Completion>,
-    /// Queries handed over that this task has not taken yet; shared with the handles.
+    /// Number of submitted queries that this task has not handled yet; shared with the handles.
     waiting_starts: Arc<AtomicU64>,
     connections_per_leaf: usize,
     coverage: CoverageCounts,
@@ -167,14 +167,14 @@
                 Some(completion) = completions.recv() => self.on_completion(completion),
                 () = sleep_until(wakeup) => {}
             }
-            self.take_waiting(&mut commands, &mut completions);
+            self.handle_waiting(&mut commands, &mut completions);
             self.on_timers();
         }
         self.metrics.connections.set(0);
     }
 
-    /// Takes the messages that have arrived already, up to the limit of one turn.
-    fn take_waiting(
+    /// Handles the messages that have already arrived, up to the limit of one turn.
+    fn handle_waiting(
         &mut self,
         commands: &mut mpsc::UnboundedReceiver<RootCommand>,
         completions: &mut mpsc::UnboundedReceiver<Completion>,
@@ -200,7 +200,7 @@
             Completion::Health { leaf, poll } => self.on_health(leaf, poll),
             Completion::Warmed { leaf, connection } => {
                 if let Some(state) = self.leafs.get_mut(&leaf) {
-                    state.pool.warmed(connection);
+                    state.pool.on_warmed(connection);
                 }
             }
         }
--- a/crates/tansylead-daemon/src/root/actor/polls.rs
+++ b/crates/tansylead-daemon/src/root/actor/polls.rs
@@ -16,22 +16,23 @@
 use tansylead_types::{LeafId, Moment};
 use tokio::sync::mpsc;
 
-/// Polls are spread over the period by up to this share of it.
+/// Maximum share of the period by which the time to the next poll is shortened at random, to spread
+/// the polls.
 const POLL_JITTER_SHARE: f64 = 0.2;
 
 impl Root {
-    /// How to reach a leaf; none if the leaf is not configured.
+    /// How to reach a leaf; `None` if the leaf is not configured.
     pub(super) fn leaf_target(&mut self, leaf: &LeafId) -> Option<LeafTarget> {
         let pool = &self.leafs.get_mut(leaf)?.pool;
         Some(leaf_target(pool, &self.context))
     }
 
-    /// Takes the end of a poll.
+    /// Handles the end of a poll.
     pub(super) fn on_health(&mut self, leaf: LeafId, poll: HealthPoll) {
         let Some(state) = self.leafs.get_mut(&leaf) else {
             return;
         };
-        state.polling = false;
+        state.is_polling = false;
         if let Some(connection) = poll.connection {
             state.pool.give_back(connection);
         }
@@ -41,14 +42,14 @@
         });
     }
 
-    /// Polls the leafs whose time has come and renews the metrics that go with it.
+    /// Polls the leafs that are due, and updates the metrics of connections and engine events.
     pub(super) fn poll_due_leafs(&mut self, now: Moment) {
         let period = self.context.health_period;
         let grace = self.context.leaving_grace;
         let mut open = 0;
         for (name, state) in self.leafs.iter_mut() {
             open += state.pool.open_connections();
-            if state.polling || state.next_poll > now {
+            if state.is_polling || state.next_poll > now {
                 continue;
             }
             let jitter = self.random.random_range(0.0..POLL_JITTER_SHARE);
@@ -56,7 +57,7 @@
             if state.may_skip_poll(now, period, grace) {
                 continue;
             }
-            state.polling = true;
+            state.is_polling = true;
             state.last_poll = now;
             warm_connections(name, state, &self.context, &self.completions);
             start_poll(name, state, &self.context, &self.completions);
@@ -76,8 +77,8 @@
     completions: &mpsc::UnboundedSender<Completion>,
 ) {
     let (address, limit) = (state.pool.address(), context.tuning.leaf_connect_limit);
-    let wanted = context.tuning.warm_connections_per_leaf;
-    for permit in state.pool.permits_to_warm(wanted) {
+    let target = context.tuning.warm_connections_per_leaf;
+    for permit in state.pool.permits_to_warm(target) {
         let (leaf, completions) = (name.clone(), completions.clone());
         tokio::spawn(async move {
             let connection = HttpConnection::open(address, ConnectOptions::within(limit), permit)
--- a/crates/tansylead-daemon/src/root/handle.rs
+++ b/crates/tansylead-daemon/src/root/handle.rs
@@ -1,4 +1,4 @@
-//! How the rest of the daemon speaks to a root.
+//! Handles through which the rest of the daemon sends commands to a root.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// The answer to a query, with what the root could still take.
+/// The answer to a query, with the room that the root reports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RootAnswer {
     /// The answer.
     pub answer: QueryAnswer,
-    /// What the root could still take; none if the root itself was not asked.
+    /// Room of the root; `None` if the root itself was not asked.
     pub report: Option<RootReport>,
 }
 
-/// What a root is to serve.
+/// Configuration of a root.
 #[derive(Debug, Clone)]
 pub struct RootConfiguration {
     /// Definition of the service.
@@ -33,7 +33,7 @@
     pub limit: u32,
 }
 
-/// Message to a root.
+/// Command to a root.
 #[derive(Debug)]
 pub enum RootCommand {
     /// Begin a query; the answer goes to `reply`.
@@ -47,14 +47,14 @@
     CallerGone(QueryId),
     /// Put a configuration in force.
     Configure(RootConfiguration),
-    /// Another root speaks about shares of the limit.
+    /// Another root sent a message about shares of the limit.
     Share {
         /// The other root.
         from: NodeId,
-        /// What it says.
+        /// Its message.
         message: ShareMessage,
     },
-    /// A leaf is said to be leaving.
+    /// A leaf is reported as leaving.
     LeafLeaving(LeafId),
     /// Report the state for `status`.
     Status(oneshot::Sender<RootStatus>),
@@ -69,27 +69,27 @@
     pub snapshot_in_use: Option<SnapshotVersion>,
     /// Whether every shard of it has a live replica.
     pub every_shard_has_a_replica: bool,
-    /// Leafs in the placement.
+    /// Number of leafs in the placement.
     pub leafs: usize,
-    /// Leafs that said or are said to be leaving.
+    /// Leafs that reported themselves, or were reported, as leaving.
     pub draining: Vec<LeafId>,
     /// Leafs whose health polls fail.
     pub unreachable: Vec<LeafId>,
-    /// Leafs left out for being slow or failing.
+    /// Leafs ejected for being slow or failing.
     pub ejected: Vec<LeafId>,
     /// Queries in progress.
     pub queries_in_progress: usize,
-    /// Shards that wait for a slot of a leaf.
+    /// Number of shards that wait for a slot of a leaf.
     pub waiting_shards: usize,
     /// Open connections to the leafs.
     pub leaf_connections: usize,
-    /// Most connections this root opens to one leaf.
+    /// Maximum number of connections that this root opens to one leaf.
     pub connections_per_leaf: usize,
     /// Queries per second this root may admit now.
     pub usable_rate: f64,
     /// Queries per second it admitted recently.
     pub admitted_rate: f64,
-    /// Shares of queries answered complete and partially since the start.
+    /// Counts of complete and partial answers since the start.
     pub coverage: CoverageCounts,
     /// Whether this root may use its whole share of the limit.
     pub share_in_force: bool,
@@ -102,9 +102,9 @@
     pub complete: u64,
     /// Partial answers.
     pub partial: u64,
-    /// Shards addressed by both.
+    /// Shards addressed by complete and partial answers.
     pub shards_total: u64,
-    /// Shards answered in both.
+    /// Shards answered in complete and partial answers.
     pub shards_answered: u64,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// A root that can be asked. Cheap to clone; the root ends when all handles are gone.
+/// A handle to a root. Cheap to clone; the root ends when all handles are gone.
 #[derive(Debug, Clone)]
 pub struct RootHandle {
     commands: mpsc::UnboundedSender<RootCommand>,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Hands over a query. None if the root has ended or too many queries wait for it: then
+    /// Submits a query. Returns `None` if the root has ended or too many queries wait for it: then
     /// nothing was sent to any leaf.
     pub fn start(
         &self,
@@ -180,7 +180,7 @@
         self.commands.is_closed()
     }
 
-    /// The root's state; none if it has ended.
+    /// The root's state; `None` if it has ended.
     pub async fn status(&self) -> Option<RootStatus> {
         let (reply, status) = oneshot::channel();
         self.commands.send(RootCommand::Status(reply)).ok()?;
@@ -198,7 +198,7 @@
 }
 
 impl QueryTicket {
-    /// Waits for the answer; none if the root ended without one.
+    /// Waits for the answer; `None` if the root ended without one.
     pub async fn answer(mut self) -> Option<RootAnswer> {
         let answer = (&mut self.answer).await.ok();
         self.answered = true;
--- a/crates/tansylead-daemon/src/root/leafs.rs
+++ b/crates/tansylead-daemon/src/root/leafs.rs
@@ -10,20 +10,20 @@
 pub(super) struct RootLeaf {
     pub(super) pool: LeafPool,
     pub(super) next_poll: Moment,
-    /// When a poll was last begun.
+    /// When the last poll began.
     pub(super) last_poll: Moment,
     /// When the leaf last answered or refused an attempt.
-    pub(super) last_heard: Moment,
-    pub(super) polling: bool,
+    pub(super) last_response: Moment,
+    pub(super) is_polling: bool,
 }
 
 impl RootLeaf {
-    /// Whether a poll would tell little: the leaf has just shown its state in-band, and the last
-    /// poll, which also tells the snapshots it holds, is so short ago that the next one still
-    /// finds out in time that the leaf is leaving.
+    /// Whether a poll may be skipped: the leaf has just shown its state in-band, and the last poll,
+    /// which also reports the snapshots it holds, is so recent that the next poll still detects in
+    /// time that the leaf is leaving.
     pub(super) fn may_skip_poll(&self, now: Moment, period: Duration, grace: Duration) -> bool {
-        let heard = now.since(self.last_heard) < period;
-        heard && now.since(self.last_poll) + period * 2 < grace
+        let responded = now.since(self.last_response) < period;
+        responded && now.since(self.last_poll) + period * 2 < grace
     }
 }
 
@@ -34,24 +34,25 @@
 }
 
 impl RootLeafs {
-    /// Takes over a placement. Pools of leafs whose address and bound are unchanged are kept.
+    /// Applies a placement. Pools of leafs whose address and connection limit are unchanged are
+    /// kept.
     pub(super) fn configure(
         &mut self,
         now: Moment,
         descriptors: &[LeafDescriptor],
         capacity: usize,
     ) {
-        let mut old = std::mem::take(&mut self.leafs);
+        let mut previous = std::mem::take(&mut self.leafs);
         for descriptor in descriptors {
-            let kept = old.remove(&descriptor.leaf).filter(|leaf| {
+            let kept = previous.remove(&descriptor.leaf).filter(|leaf| {
                 leaf.pool.address() == descriptor.address && leaf.pool.capacity() == capacity
             });
             let leaf = kept.unwrap_or_else(|| RootLeaf {
                 pool: LeafPool::new(descriptor.address, capacity),
                 next_poll: now,
                 last_poll: Moment::default(),
-                last_heard: Moment::default(),
-                polling: false,
+                last_response: Moment::default(),
+                is_polling: false,
             });
             self.leafs.insert(descriptor.leaf.clone(), leaf);
         }
@@ -66,7 +67,7 @@
     }
 
     pub(super) fn next_poll(&self) -> Option<Moment> {
-        let waiting = self.leafs.values().filter(|leaf| !leaf.polling);
+        let waiting = self.leafs.values().filter(|leaf| !leaf.is_polling);
         waiting.map(|leaf| leaf.next_poll).min()
     }
 
--- a/crates/tansylead-daemon/src/root/metrics.rs
+++ b/crates/tansylead-daemon/src/root/metrics.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Adds what the engine has counted since the last call.
+    /// Adds the events that the engine has counted since the last call.
     pub(super) fn count_engine(&mut self, counters: EngineCounters) {
         let old = std::mem::replace(&mut self.exported, counters);
         let changes = [
--- a/crates/tansylead-daemon/src/root/mod.rs
+++ b/crates/tansylead-daemon/src/root/mod.rs
@@ -1,5 +1,5 @@
 //! Roots: one task for each (service, place) that this daemon serves. The task owns the engine and
-//! the connections to the leafs; all others speak to it through [`RootHandle`].
+//! the connections to the leafs; everything else reaches it through [`RootHandle`].
 
 mod actor;
 mod handle;
--- a/crates/tansylead-daemon/src/root/queries.rs
+++ b/crates/tansylead-daemon/src/root/queries.rs
@@ -60,20 +60,15 @@
             .map(|active| Arc::clone(&active.context))
     }
 
-    pub(super) fn attempt_started(
-        &mut self,
-        query: QueryId,
-        attempt: AttemptId,
-        task: AbortHandle,
-    ) {
+    pub(super) fn add_attempt(&mut self, query: QueryId, attempt: AttemptId, task: AbortHandle) {
         match self.queries.get_mut(&query) {
             Some(active) => active.in_flight.push(InFlight { attempt, task }),
             None => task.abort(),
         }
     }
 
-    /// Forgets an attempt. If it is still in flight its connection is closed.
-    pub(super) fn attempt_over(&mut self, query: QueryId, attempt: AttemptId) {
+    /// Removes an attempt. If it is still in flight, its connection is closed.
+    pub(super) fn remove_attempt(&mut self, query: QueryId, attempt: AttemptId) {
         if let Some(active) = self.queries.get_mut(&query) {
             active
                 .in_flight
@@ -81,7 +76,7 @@
         }
     }
 
-    /// Ends a query; attempts still in flight are cancelled. Returns who waits for the answer.
+    /// Ends a query; attempts still in flight are cancelled. Returns the channel for the answer.
     pub(super) fn remove(&mut self, query: QueryId) -> Option<oneshot::Sender<RootAnswer>> {
         self.queries.remove(&query).map(|active| active.reply)
     }
--- a/crates/tansylead-daemon/src/root/rate.rs
+++ b/crates/tansylead-daemon/src/root/rate.rs
@@ -1,10 +1,10 @@
-//! The rate of something that happens now and then, averaged over recent time.
+//! Measures the recent average rate of an event.
 
 use std::time::Duration;
 use tansylead_types::Moment;
 
-/// Least time over which a rate is measured.
-const WINDOW: Duration = Duration::from_millis(500);
+/// Minimum time over which a rate is measured.
+const MINIMUM_WINDOW: Duration = Duration::from_millis(500);
 /// Weight of the newest window in the average.
 const NEWEST_WEIGHT: f64 = 0.5;
 
@@ -30,10 +30,10 @@
         self.events += 1;
     }
 
-    /// The average, up to the last whole window.
+    /// The average, up to the last complete window.
     pub(super) fn per_second(&mut self, now: Moment) -> f64 {
         let elapsed = now.since(self.window_start);
-        if elapsed >= WINDOW {
+        if elapsed >= MINIMUM_WINDOW {
             let newest = f64::from(self.events) / elapsed.as_secs_f64();
             self.average += NEWEST_WEIGHT * (newest - self.average);
             self.events = 0;
--- a/crates/tansylead-daemon/src/root/shares.rs
+++ b/crates/tansylead-daemon/src/root/shares.rs
@@ -1,4 +1,5 @@
-//! This root's share of the table's limit: drives the share machine and speaks to other roots.
+//! This root's share of the table's limit: drives the state machine of shares and exchanges
+//! messages with other roots.
 
 use super::rate::RateMeter;
 use crate::configuration::PlacementKey;
@@ -11,8 +12,8 @@
 use tansylead_query::RateShare;
 use tansylead_types::{InstanceId, Moment, NodeId};
 
-/// Share of its usable rate that a root reports as room at least.
-const LEAST_ROOM_SHARE: f64 = 0.02;
+/// Minimum room that a root reports, as a share of its usable rate.
+const MINIMUM_ROOM_SHARE: f64 = 0.02;
 
 /// The share of one root.
 #[derive(Debug)]
@@ -30,7 +31,7 @@
     pub(super) fn new(
         now: Moment,
         key: PlacementKey,
-        own: InstanceId,
+        own_instance: InstanceId,
         peers: Arc<PeerClient>,
         timing: ShareTiming,
         burst: Duration,
@@ -38,7 +39,7 @@
         Self {
             key,
             peers,
-            shares: RateShares::new(now, own, timing),
+            shares: RateShares::new(now, own_instance, timing),
             burst,
             arrivals: RateMeter::new(now),
             admissions: RateMeter::new(now),
@@ -56,7 +57,7 @@
         self.perform(actions);
     }
 
-    /// Runs what is due.
+    /// Handles the timers that are due.
     pub(super) fn on_timers(&mut self, now: Moment) {
         if self.next_wakeup().is_some_and(|wakeup| wakeup <= now) {
             self.shares.set_demand(self.arrivals.per_second(now));
@@ -90,14 +91,15 @@
         Some(share)
     }
 
-    /// What frontends are told. A root at its share reports a little room: the token bucket, not
-    /// the averages of the report, decides what it refuses, and its refusals say for how long.
-    /// Otherwise a root that is just full would be left alone for the lifetime of the report.
+    /// The report for frontends. A root that has reached its share still reports a little room: the
+    /// token bucket, not the averages of the report, decides what it refuses, and its refusals say
+    /// for how long. Otherwise frontends would skip a root that is only just full for the lifetime
+    /// of the report.
     pub(super) fn report(&mut self, now: Moment) -> RootReport {
         let usable_rate = self.shares.usable_rate(now);
         let admitted_rate = self.admissions.per_second(now);
         RootReport {
-            admitted_rate: admitted_rate.min(usable_rate * (1.0 - LEAST_ROOM_SHARE)),
+            admitted_rate: admitted_rate.min(usable_rate * (1.0 - MINIMUM_ROOM_SHARE)),
             usable_rate,
         }
     }
@@ -107,8 +109,8 @@
         self.admissions.per_second(now)
     }
 
-    /// Whether the whole base share may be used.
-    pub(super) fn is_full(&self, now: Moment) -> bool {
+    /// Whether this root may use its whole base share.
+    pub(super) fn is_whole_share_usable(&self, now: Moment) -> bool {
         self.shares.full_at() <= now
     }
 
--- a/crates/tansylead-daemon/src/root/supervisor.rs
+++ b/crates/tansylead-daemon/src/root/supervisor.rs
@@ -15,10 +15,10 @@
 use tokio_util::sync::CancellationToken;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often the hour of the table is looked at.
+/// Period of checking the current hour of the table.
 const HOUR_CHECK_PERIOD: Duration = Duration::from_secs(1);
 
-/// The roots of this daemon, for those who hand over queries.
+/// Directory of the roots of this daemon, for submitting queries.
 #[derive(Debug, Clone, Default)]
 pub struct RootDirectory {
     roots: Arc<RwLock<BTreeMap<PlacementKey, RootHandle>>>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// What the supervisor works with.
+/// Dependencies of the supervisor.
 #[derive(Debug)]
 pub struct SupervisorParts {
     /// The daemon.
@@ -53,25 +53,25 @@
     pub directory: RootDirectory,
     /// Cancelled when a planned stop begins.
     pub drain: CancellationToken,
-    /// From then on, roots are kept as they are for this long, while peers learn of it. Less than
-    /// the time after which others use this daemon's shares.
+    /// How long roots are then kept as they are, while peers learn of the stop. Less than the time
+    /// after which others use this daemon's shares.
     pub drain_hold: Duration,
 }
 
-/// A root and what it was last told.
+/// A root and the configuration last sent to it.
 #[derive(Debug)]
-struct Supervised {
+struct SupervisedRoot {
     handle: RootHandle,
-    told: RootConfiguration,
+    last_sent: RootConfiguration,
 }
 
-/// Keeps the roots in step with configuration and members.
+/// Starts, configures and ends roots to match configuration and members.
 #[derive(Debug)]
 pub struct RootSupervisor {
     parts: SupervisorParts,
     clock: Clock,
     routes: BTreeMap<PlacementKey, PlaceRoutes>,
-    supervised: BTreeMap<PlacementKey, Supervised>,
+    supervised: BTreeMap<PlacementKey, SupervisedRoot>,
     drain_began: Option<Moment>,
 }
 
@@ -97,7 +97,7 @@
         loop {
             let view = Arc::clone(&configuration.borrow_and_update());
             let current = Arc::clone(&members.borrow_and_update());
-            if !self.holds_roots() {
+            if !self.keeps_roots_unchanged() {
                 self.reconcile(&view, &current);
             }
             let changed = tokio::select! {
@@ -112,7 +112,7 @@
     }
 
     /// Whether a planned stop has begun so recently that roots are kept as they are.
-    fn holds_roots(&mut self) -> bool {
+    fn keeps_roots_unchanged(&mut self) -> bool {
         if !self.parts.drain.is_cancelled() {
             return false;
         }
@@ -122,28 +122,28 @@
     }
 
     fn reconcile(&mut self, view: &ConfigurationView, members: &MemberView) {
-        let wanted = self.wanted(view, members);
+        let required = self.required_roots(view, members);
         let leaving = self.drain_began.is_some();
         let routes = &self.routes;
         self.supervised.retain(|key, _| {
-            // During a planned stop of the last root, it serves to the end.
+            // The last root serves on until the end of its planned stop.
             let is_last = routes
                 .get(key)
                 .is_some_and(|known| known.set.roots.is_empty());
-            let keep = wanted.contains_key(key) || (leaving && is_last);
+            let keep = required.contains_key(key) || (leaving && is_last);
             if !keep {
                 log::info!("root for {} in {}: ended", key.service, key.place);
             }
             keep
         });
-        for (key, configuration) in wanted {
-            self.ensure(key, configuration);
+        for (key, configuration) in required {
+            self.start_or_configure(key, configuration);
         }
         self.publish();
     }
 
-    /// The roots this daemon should have.
-    fn wanted(
+    /// The roots that this daemon should run, and their configurations.
+    fn required_roots(
         &mut self,
         view: &ConfigurationView,
         members: &MemberView,
@@ -151,7 +151,7 @@
         let candidates = members.candidates(&self.parts.place);
         let hour = self.clock.hour_of_day();
         let mut known = std::mem::take(&mut self.routes);
-        let mut wanted = BTreeMap::new();
+        let mut required = BTreeMap::new();
         let own_place =
             |(key, _): &(&PlacementKey, &Arc<ServicePlacement>)| key.place == self.parts.place;
         for (key, placement) in view.placements().filter(own_place) {
@@ -169,36 +169,32 @@
                     serving_set: Arc::clone(&routes.set),
                     limit: row.map_or(0, |row| row.limit),
                 };
-                wanted.insert(key.clone(), configuration);
+                required.insert(key.clone(), configuration);
             }
             self.routes.insert(key.clone(), routes);
         }
-        wanted
+        required
     }
 
-    fn ensure(&mut self, key: PlacementKey, configuration: RootConfiguration) {
-        let ended = |known: &Supervised| known.handle.has_ended();
+    fn start_or_configure(&mut self, key: PlacementKey, configuration: RootConfiguration) {
+        let ended = |known: &SupervisedRoot| known.handle.has_ended();
         if self.supervised.get(&key).is_some_and(ended) {
-            log::error!(
-                "root for {} in {}: ended by a fault",
-                key.service,
-                key.place
-            );
+            log::error!("root for {} in {}: its task failed", key.service, key.place);
             self.supervised.remove(&key);
             self.parts.directory.roots.write().remove(&key);
         }
         if let Some(known) = self.supervised.get_mut(&key) {
-            if !is_same(&known.told, &configuration) {
-                known.told = configuration.clone();
+            if !is_same(&known.last_sent, &configuration) {
+                known.last_sent = configuration.clone();
                 known.handle.send(RootCommand::Configure(configuration));
             }
             return;
         }
         let handle = self.start(&key);
         handle.send(RootCommand::Configure(configuration.clone()));
-        let supervised = Supervised {
+        let supervised = SupervisedRoot {
             handle,
-            told: configuration,
+            last_sent: configuration,
         };
         self.supervised.insert(key, supervised);
     }
