--- a/crates/tansylead-daemon/src/assembly.rs
+++ b/crates/tansylead-daemon/src/assembly.rs
@@ -51,8 +51,8 @@
     address: SocketAddr,
 }
 
-/// Values that all parts are built from.
-struct Base {
+/// Builds the parts of a daemon from the values that they share.
+struct DaemonBuilder {
     settings: Settings,
     tuning: Arc<Tuning>,
     metrics: Arc<Metrics>,
@@ -74,7 +74,7 @@
 }
 
 /// Parts that the servers for callers and for peers share.
-pub(crate) struct Shared {
+pub(crate) struct SharedParts {
     pub(crate) routes: Arc<Routes>,
     pub(crate) state: Arc<DaemonState>,
     pub(crate) claims: Arc<Claims>,
@@ -85,25 +85,25 @@
 pub(crate) async fn assemble(settings: Settings, tuning: Tuning) -> eyre::Result<Assembly> {
     let sockets = bind_peer_sockets(settings.peer_address).await?;
     let peer_address = sockets.address;
-    let base = Base::new(settings, tuning, peer_address)?;
+    let builder = DaemonBuilder::new(settings, tuning, peer_address)?;
     let channels = Channels::new();
-    let shared = base.shared(&channels);
-    let server = base
-        .caller_server(&shared.state, &shared.routes, &shared.roots)
+    let shared = builder.build_shared(&channels);
+    let server = builder
+        .build_caller_server(&shared.state, &shared.routes, &shared.roots)
         .await?;
     let caller_address = server.local_address()?;
 
-    let supervisor = base.supervisor();
+    let supervisor = builder.build_supervisor();
     let configuration = channels.configuration.subscribe();
     let members = channels.members.subscribe();
     let cluster = channels.cluster.clone();
-    let mut tasks = base.spawn_control(channels, sockets, &shared, caller_address);
+    let mut tasks = builder.spawn_control(channels, sockets, &shared, caller_address);
     tasks.spawn(supervisor.run(configuration, members));
     Ok(Assembly {
         state: shared.state,
         cluster,
         claims: shared.claims,
-        drain: base.drain,
+        drain: builder.drain,
         server,
         peer_address,
         tasks,
@@ -139,7 +139,7 @@
     }
 }
 
-impl Base {
+impl DaemonBuilder {
     fn new(mut settings: Settings, tuning: Tuning, peer_address: SocketAddr) -> eyre::Result<Self> {
         settings.peer_address = peer_address;
         let instance = InstanceId {
@@ -168,16 +168,16 @@
         })
     }
 
-    fn shared(&self, channels: &Channels) -> Shared {
-        let routes = self.routes(channels);
-        let state = self.state(channels, &routes);
-        let claims = self.claims(channels);
+    fn build_shared(&self, channels: &Channels) -> SharedParts {
+        let routes = self.build_routes(channels);
+        let state = self.build_state(channels, &routes);
+        let claims = self.build_claims(channels);
         let roots = RootService::new(
             self.directory.clone(),
             Arc::clone(&claims),
             Arc::clone(&state),
         );
-        Shared {
+        SharedParts {
             routes,
             state,
             claims,
@@ -190,7 +190,7 @@
         &self,
         channels: Channels,
         sockets: PeerSockets,
-        shared: &Shared,
+        shared: &SharedParts,
         caller_address: SocketAddr,
     ) -> JoinSet<()> {
         let peer_service = PeerService {
@@ -200,12 +200,12 @@
             claims: Arc::clone(&shared.claims),
             state: Arc::clone(&shared.state),
         };
-        let peer_server = self.peer_server(sockets.listener, peer_service);
-        let machine_list = self.machine_list_reader(&channels, &shared.routes);
-        let planner = self.planner(&channels, &shared.claims);
+        let peer_server = self.build_peer_server(sockets.listener, peer_service);
+        let machine_list = self.build_machine_list_reader(&channels, &shared.routes);
+        let planner = self.build_planner(&channels, &shared.claims);
         let claims = Arc::clone(&shared.claims);
         let claim_configuration = channels.configuration.subscribe();
-        let driver = self.cluster_driver(&channels, sockets.datagrams, caller_address);
+        let driver = self.build_cluster_driver(&channels, sockets.datagrams, caller_address);
         let mut tasks = JoinSet::new();
         tasks.spawn(driver.run(channels.inputs));
         tasks.spawn(peer_server.run());
@@ -217,7 +217,7 @@
         tasks
     }
 
-    fn routes(&self, channels: &Channels) -> Arc<Routes> {
+    fn build_routes(&self, channels: &Channels) -> Arc<Routes> {
         Arc::new(Routes::new(RoutesParts {
             own_node: self.instance.node,
             place: self.settings.place.clone(),
@@ -229,7 +229,7 @@
         }))
     }
 
-    fn state(&self, channels: &Channels, routes: &Arc<Routes>) -> Arc<DaemonState> {
+    fn build_state(&self, channels: &Channels, routes: &Arc<Routes>) -> Arc<DaemonState> {
         Arc::new(DaemonState::new(StateParts {
             settings: self.settings.clone(),
             metrics: Arc::clone(&self.metrics),
@@ -242,7 +242,7 @@
         }))
     }
 
-    async fn caller_server(
+    async fn build_caller_server(
         &self,
         state: &Arc<DaemonState>,
         routes: &Arc<Routes>,
@@ -268,7 +268,7 @@
         Ok(server)
     }
 
-    fn supervisor(&self) -> RootSupervisor {
+    fn build_supervisor(&self) -> RootSupervisor {
         let timing = &self.settings.timing;
         RootSupervisor::new(SupervisorParts {
             instance: self.instance,
@@ -287,14 +287,18 @@
         })
     }
 
-    fn peer_server(&self, listener: TcpListener, service: PeerService) -> PeerServer<PeerService> {
+    fn build_peer_server(
+        &self,
+        listener: TcpListener,
+        service: PeerService,
+    ) -> PeerServer<PeerService> {
         let limits = self.tuning.peer_server.clone();
         let traffic = TrafficCounters::new(&self.metrics);
         let hello = self.hello.clone();
         PeerServer::new(listener, hello, limits, Arc::new(service), traffic)
     }
 
-    fn claims(&self, channels: &Channels) -> Arc<Claims> {
+    fn build_claims(&self, channels: &Channels) -> Arc<Claims> {
         Arc::new(Claims::new(ClaimParts {
             own_instance: self.instance,
             settings: ClaimSettings::clone(&self.claim_settings),
@@ -304,7 +308,7 @@
         }))
     }
 
-    fn planner(&self, channels: &Channels, claims: &Arc<Claims>) -> PlannerParts {
+    fn build_planner(&self, channels: &Channels, claims: &Arc<Claims>) -> PlannerParts {
         PlannerParts {
             claims: Arc::clone(claims),
             store: StoreClient::new(self.settings.store_address),
@@ -314,7 +318,7 @@
         }
     }
 
-    fn machine_list_reader(
+    fn build_machine_list_reader(
         &self,
         channels: &Channels,
         routes: &Arc<Routes>,
@@ -329,7 +333,7 @@
         ))
     }
 
-    fn cluster_driver(
+    fn build_cluster_driver(
         &self,
         channels: &Channels,
         socket: UdpSocket,
@@ -339,10 +343,10 @@
             instance: self.instance,
             cluster: self.settings.cluster.clone(),
         };
-        let membership = self.membership(caller_address);
+        let membership = self.build_membership(caller_address);
         let spread = SpreadMachine::new(
             Clock.now(),
-            self.local_member(caller_address),
+            self.build_local_member(caller_address),
             membership.is_joined(),
             self.tuning.spread.clone(),
             self.instance.boot,
@@ -365,7 +369,7 @@
         )
     }
 
-    fn local_member(&self, caller_address: SocketAddr) -> LocalMember {
+    fn build_local_member(&self, caller_address: SocketAddr) -> LocalMember {
         LocalMember {
             instance: self.instance,
             place: self.settings.place.clone(),
@@ -375,8 +379,8 @@
         }
     }
 
-    fn membership(&self, caller_address: SocketAddr) -> Membership {
-        let local = self.local_member(caller_address);
+    fn build_membership(&self, caller_address: SocketAddr) -> Membership {
+        let local = self.build_local_member(caller_address);
         let seeds: Vec<NodeId> = self.settings.seeds.iter().copied().map(NodeId).collect();
         let settings = MembershipSettings {
             probe_period: Duration::from_millis(self.settings.timing.probe_period_millis),
--- a/crates/tansylead-daemon/src/claims/execution.rs
+++ b/crates/tansylead-daemon/src/claims/execution.rs
@@ -84,12 +84,12 @@
             check_before_dispatch(self.expires, Clock.wall(), self.claims.settings())
         {
             self.abandon(&permit);
-            return self.not_run(refusal.to_string(), None);
+            return self.not_run_answer(refusal.to_string(), None);
         }
         self.count("dispatched");
         let answer = match dispatch().await {
             Some(answer) => answer,
-            None => self.unknown("the root ended without an answer".to_owned(), None),
+            None => self.unknown_answer("the root ended without an answer".to_owned(), None),
         };
         if answer.outcome == Outcome::NotRun {
             self.abandon(&permit);
@@ -105,7 +105,7 @@
         if let Err(refusal) = check_before_dispatch(self.expires, wall, self.claims.settings()) {
             // An earlier request with the key may have run.
             let reason = format!("not run now: {refusal}");
-            return Permission::Answer(Box::new(self.unknown(reason, None)));
+            return Permission::Answer(Box::new(self.unknown_answer(reason, None)));
         }
         let begin = self
             .claims
@@ -116,7 +116,7 @@
             BeginOutcome::Known(status) => Permission::Answer(Box::new(self.known_answer(status))),
             BeginOutcome::Full => {
                 let reason = "too many keys are in use".to_owned();
-                let answer = self.not_run(reason, Some(RETRY_AFTER_IN_PROGRESS));
+                let answer = self.not_run_answer(reason, Some(RETRY_AFTER_IN_PROGRESS));
                 Permission::Answer(Box::new(answer))
             }
             BeginOutcome::Claim(claim) => self.claim(claim).await,
@@ -125,11 +125,11 @@
 
     fn known_answer(&self, status: AnswerStatus) -> QueryAnswer {
         match status {
-            AnswerStatus::Finished(answer) => self.repeated(*answer),
-            AnswerStatus::InProgress => self.in_progress(),
+            AnswerStatus::Finished(answer) => self.repeated_answer(*answer),
+            AnswerStatus::InProgress => self.in_progress_answer(),
             AnswerStatus::NotRun { .. } | AnswerStatus::Unknown => {
                 let reason = "a request with this key may have run; its answer is not held";
-                self.unknown(reason.to_owned(), None)
+                self.unknown_answer(reason.to_owned(), None)
             }
         }
     }
@@ -138,7 +138,7 @@
         let Some(view) = self.claims.view() else {
             self.claims.answers.lock().mark_not_run(&self.key, claim);
             let reason = "there are no claim members yet".to_owned();
-            let answer = self.not_run(reason, Some(RETRY_AFTER_WITHOUT_VIEW));
+            let answer = self.not_run_answer(reason, Some(RETRY_AFTER_WITHOUT_VIEW));
             return Permission::Answer(Box::new(answer));
         };
         let terms = ClaimTerms {
@@ -164,7 +164,7 @@
             } => {
                 self.claims.answers.lock().mark_not_run(&self.key, claim);
                 let reason = format!("no majority of claim members: {reason:?}");
-                self.not_run(reason, Some(retry_after))
+                self.not_run_answer(reason, Some(retry_after))
             }
         };
         Permission::Answer(Box::new(answer))
@@ -177,7 +177,7 @@
         for holder in holders {
             let limit = HOLDER_LIMIT.min(Clock.time_left(self.deadline));
             match self.claims.request_outcome(&self.key, *holder, limit).await {
-                KeyOutcome::Finished(answer) => return self.repeated(*answer),
+                KeyOutcome::Finished(answer) => return self.repeated_answer(*answer),
                 KeyOutcome::InProgress => in_progress = true,
                 KeyOutcome::NotRun => continue,
                 KeyOutcome::Unknown => {}
@@ -185,14 +185,14 @@
             never_ran = false;
         }
         if in_progress {
-            return self.in_progress();
+            return self.in_progress_answer();
         }
         if never_ran {
             let reason = "a claim of this key has just been given up".to_owned();
-            return self.not_run(reason, Some(RETRY_AFTER_IN_PROGRESS));
+            return self.not_run_answer(reason, Some(RETRY_AFTER_IN_PROGRESS));
         }
         let reason = "a request with this key may have run; its root does not know".to_owned();
-        self.unknown(reason, None)
+        self.unknown_answer(reason, None)
     }
 
     /// Gives up a permit under which nothing was or will be dispatched.
@@ -214,23 +214,23 @@
     }
 
     /// An earlier answer, for this repetition.
-    fn repeated(&self, answer: QueryAnswer) -> QueryAnswer {
+    fn repeated_answer(&self, answer: QueryAnswer) -> QueryAnswer {
         QueryAnswer {
             request: self.request.clone(),
             ..answer
         }
     }
 
-    fn in_progress(&self) -> QueryAnswer {
+    fn in_progress_answer(&self) -> QueryAnswer {
         let reason = "a request with this key is in progress".to_owned();
-        self.unknown(reason, Some(RETRY_AFTER_IN_PROGRESS))
+        self.unknown_answer(reason, Some(RETRY_AFTER_IN_PROGRESS))
     }
 
-    fn unknown(&self, reason: String, retry_after: Option<Duration>) -> QueryAnswer {
+    fn unknown_answer(&self, reason: String, retry_after: Option<Duration>) -> QueryAnswer {
         QueryAnswer::without_results(self.request.clone(), Outcome::Unknown, reason, retry_after)
     }
 
-    fn not_run(&self, reason: String, retry_after: Option<Duration>) -> QueryAnswer {
+    fn not_run_answer(&self, reason: String, retry_after: Option<Duration>) -> QueryAnswer {
         QueryAnswer::without_results(self.request.clone(), Outcome::NotRun, reason, retry_after)
     }
 }
--- a/crates/tansylead-daemon/src/claims/service.rs
+++ b/crates/tansylead-daemon/src/claims/service.rs
@@ -28,7 +28,7 @@
     InProgress,
     /// It ran, or may have run, and this was the answer.
     Finished(Box<QueryAnswer>),
-    /// It never ran and will not under the claim that was asked about.
+    /// It never ran and will not run under the claim in question.
     NotRun,
     /// The root does not know: it may have run.
     Unknown,
--- a/crates/tansylead-daemon/src/cluster/driver/membership.rs
+++ b/crates/tansylead-daemon/src/cluster/driver/membership.rs
@@ -1,7 +1,7 @@
 //! Feeds the membership state machine and performs its actions.
 //!
 //! Invariant: each change of a member goes to the in-force checks and to configuration spread in
-//! the order in which membership reports it. They may feed membership again while it does so.
+//! the order in which membership reports it. They may feed membership again meanwhile.
 
 use super::ClusterDriver;
 use tansylead_cluster::membership::{MemberRecord, MembershipAction, MembershipEvent};
--- a/crates/tansylead-daemon/src/cluster/machine_list.rs
+++ b/crates/tansylead-daemon/src/cluster/machine_list.rs
@@ -69,7 +69,7 @@
             }
             if since_renewal >= RENEWAL_PERIOD {
                 since_renewal = Duration::ZERO;
-                self.repeat_notices();
+                self.renew_notices();
             }
             let share = 1.0 - rand::rng().random_range(0.0..JITTER_SHARE);
             tokio::time::sleep(STEP_PERIOD.mul_f64(share)).await;
@@ -116,7 +116,7 @@
     /// Notifies the roots again of the leaving leafs of the last list: new roots were not notified
     /// of them, and the others drop what is not repeated. A failed read revokes nothing. Daemons
     /// that read the list seldom do not repeat it, because it may be long out of date.
-    fn repeat_notices(&self) {
+    fn renew_notices(&self) {
         if self.period() < OTHERS_PERIOD {
             for address in &self.leaving {
                 self.routes.notify_leaf_leaving(*address);
--- a/crates/tansylead-daemon/src/frontend.rs
+++ b/crates/tansylead-daemon/src/frontend.rs
@@ -3,7 +3,7 @@
 //! A query that provably ran nowhere is sent to the next root, up to a few times. One that may have
 //! run is sent to another root only if it is repeatable, and at most once.
 
-use crate::answers::not_run;
+use crate::answers::not_run_answer;
 use crate::clock::Clock;
 use crate::configuration::PlacementKey;
 use crate::metrics::Metrics;
@@ -87,7 +87,7 @@
         let mut last_refusal = None;
         let mut may_have_run = false;
         for _ in 0..self.parts.tuning.maximum_roots_tried {
-            let target = match self.choose(&request) {
+            let target = match self.choose_root(&request) {
                 Ok(target) => target,
                 Err(refusal) => {
                     last_refusal = last_refusal.or(Some(*refusal));
@@ -113,7 +113,7 @@
                 ForwardResult::MayHaveRun { reason } => {
                     self.record_unresponsive(&target, &request);
                     if may_have_run || !request.is_repeatable() {
-                        return self.unknown(&request, reason);
+                        return self.unknown_answer(&request, reason);
                     }
                     may_have_run = true;
                 }
@@ -124,12 +124,12 @@
         }
         let refusal = last_refusal.unwrap_or_else(|| {
             let reason = "no root could be reached".to_owned();
-            not_run(request.request.clone(), reason, self.retry_after())
+            not_run_answer(request.request.clone(), reason, self.retry_after())
         });
         mark_earlier_run(refusal, may_have_run)
     }
 
-    fn choose(&self, request: &QueryRequest) -> Result<Target, Box<QueryAnswer>> {
+    fn choose_root(&self, request: &QueryRequest) -> Result<Target, Box<QueryAnswer>> {
         let routes = &self.parts.routes;
         match routes.choose(&request.service) {
             RouteChoice::Root { place, root } => Ok(Target { place, root }),
@@ -144,7 +144,7 @@
                         root: routes.own_node(),
                     });
                 }
-                let refusal = not_run(request.request.clone(), reason, retry_after);
+                let refusal = not_run_answer(request.request.clone(), reason, retry_after);
                 Err(Box::new(refusal))
             }
         }
@@ -274,7 +274,7 @@
         routes.on_refusal(service, place, target.root, UNRESPONSIVE_BACKOFF);
     }
 
-    fn unknown(&self, request: &QueryRequest, reason: String) -> QueryAnswer {
+    fn unknown_answer(&self, request: &QueryRequest, reason: String) -> QueryAnswer {
         QueryAnswer::without_results(request.request.clone(), Outcome::Unknown, reason, None)
     }
 }
--- a/crates/tansylead-daemon/src/http/answer.rs
+++ b/crates/tansylead-daemon/src/http/answer.rs
@@ -65,7 +65,7 @@
     let internal = |cause: String| ApiError::Internal { cause };
     let retry_after = answer.retry_after;
     let outcome = answer.outcome;
-    let body = body_of(answer, retry_after).map_err(|cause| internal(cause.to_string()))?;
+    let body = answer_body(answer, retry_after).map_err(|cause| internal(cause.to_string()))?;
     let text = serde_json::to_vec(&body).map_err(|cause| internal(cause.to_string()))?;
     let mut builder = Response::builder()
         .status(status_of(outcome))
@@ -78,7 +78,7 @@
         .map_err(|cause| internal(cause.to_string()))
 }
 
-fn body_of(
+fn answer_body(
     answer: QueryAnswer,
     retry_after: Option<Duration>,
 ) -> Result<AnswerBody, serde_json::Error> {
--- a/crates/tansylead-daemon/src/http/router.rs
+++ b/crates/tansylead-daemon/src/http/router.rs
@@ -92,11 +92,11 @@
         }
         require_method(&request, Method::GET, "GET")?;
         match request.uri().path() {
-            "/healthz" => text(StatusCode::OK, "text/plain", "ok\n".to_owned()),
+            "/healthz" => text_response(StatusCode::OK, "text/plain", "ok\n".to_owned()),
             "/readyz" => self.readiness().await,
             "/metrics" => self.metrics_text(),
             IN_FORCE_PATH => self.in_force(request.uri().query()).await,
-            _ => json(StatusCode::OK, &self.state.status().await),
+            _ => json_response(StatusCode::OK, &self.state.status().await),
         }
     }
 
@@ -106,7 +106,7 @@
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         };
-        json(status, &readiness)
+        json_response(status, &readiness)
     }
 
     /// On which daemons a revision is in force.
@@ -117,14 +117,14 @@
             .cluster()
             .in_force(query.revision, query.wait)
             .await;
-        let report = report.ok_or_else(|| internal("the cluster task has ended"))?;
-        json(StatusCode::OK, &report_answer(query.revision, report))
+        let report = report.ok_or_else(|| internal_error("the cluster task has ended"))?;
+        json_response(StatusCode::OK, &report_answer(query.revision, report))
     }
 
     fn metrics_text(&self) -> Result<Response<Full<Bytes>>, ApiError> {
         self.state.refresh_metrics();
-        let rendered = self.metrics().text().map_err(internal)?;
-        text(StatusCode::OK, "text/plain; version=0.0.4", rendered)
+        let rendered = self.metrics().text().map_err(internal_error)?;
+        text_response(StatusCode::OK, "text/plain; version=0.0.4", rendered)
     }
 
     async fn query(
@@ -201,18 +201,21 @@
     })
 }
 
-fn internal(cause: impl std::fmt::Display) -> ApiError {
+fn internal_error(cause: impl std::fmt::Display) -> ApiError {
     ApiError::Internal {
         cause: cause.to_string(),
     }
 }
 
-fn json(status: StatusCode, body: &impl Serialize) -> Result<Response<Full<Bytes>>, ApiError> {
-    let rendered = serde_json::to_string(body).map_err(internal)?;
-    text(status, "application/json", rendered)
+fn json_response(
+    status: StatusCode,
+    body: &impl Serialize,
+) -> Result<Response<Full<Bytes>>, ApiError> {
+    let rendered = serde_json::to_string(body).map_err(internal_error)?;
+    text_response(status, "application/json", rendered)
 }
 
-fn text(
+fn text_response(
     status: StatusCode,
     content_type: &'static str,
     body: String,
@@ -221,5 +224,5 @@
         .status(status)
         .header(CONTENT_TYPE, content_type)
         .body(Full::new(Bytes::from(body)))
-        .map_err(internal)
+        .map_err(internal_error)
 }
--- a/crates/tansylead-daemon/src/http/server.rs
+++ b/crates/tansylead-daemon/src/http/server.rs
@@ -20,7 +20,7 @@
 /// Period of checking whether a planned stop can end.
 const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(50);
 
-/// Time limits of the server.
+/// Time limits of the server for callers.
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
     /// Time a caller may take to send its headers.
--- a/crates/tansylead-daemon/src/peers/link.rs
+++ b/crates/tansylead-daemon/src/peers/link.rs
@@ -104,7 +104,8 @@
     fail_unsent_calls(&mut commands, &error);
 }
 
-/// Fails the calls that were never sent, including those queued before the channel was closed.
+/// Fails the calls that were never sent, including those queued until the last sender sees that the
+/// channel is closed.
 fn fail_unsent_calls(commands: &mut mpsc::Receiver<LinkCommand>, error: &StepError) {
     commands.close();
     while let Ok(command) = commands.try_recv() {
--- a/crates/tansylead-daemon/src/peers/message.rs
+++ b/crates/tansylead-daemon/src/peers/message.rs
@@ -43,7 +43,7 @@
 /// Frame from the side that connected.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ClientFrame {
-    /// A request that wants a response.
+    /// A request that expects a response.
     Request {
         /// Its number.
         number: RequestNumber,
--- a/crates/tansylead-daemon/src/platform.rs
+++ b/crates/tansylead-daemon/src/platform.rs
@@ -20,7 +20,7 @@
 
 /// Time allowed for connecting to the platform.
 pub const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-/// Time allowed for one platform request, beyond the time a watch asks to be held.
+/// Time allowed for one platform request, in addition to the time that a watch may be held open.
 pub const REQUEST_LIMIT: Duration = Duration::from_secs(5);
 /// Largest answer accepted from the platform.
 pub const MAXIMUM_ANSWER_BYTES: usize = 64 * 1024 * 1024;
@@ -74,7 +74,8 @@
             .await
     }
 
-    /// Like [`StoreClient::list`], held by the store until there is something or `wait` passes.
+    /// Like [`StoreClient::list`], held open by the store until there is a newer object or `wait`
+    /// has passed.
     pub async fn watch(&self, after: u64, wait: Duration) -> Result<ObjectList, StepError> {
         let wait_millis = wait.as_millis();
         let path = format!("{STORE_WATCH_PATH}?after={after}&wait_ms={wait_millis}");
@@ -83,7 +84,7 @@
             .await
     }
 
-    /// One object; none if it was never written.
+    /// One object; `None` if it was never written.
     pub async fn get(&self, key: &ObjectKey) -> Result<Option<StoredObject>, StepError> {
         const STEP: &str = "read store object";
         let path = object_path(key);
--- a/crates/tansylead-daemon/src/root/shares.rs
+++ b/crates/tansylead-daemon/src/root/shares.rs
@@ -78,7 +78,7 @@
         self.admissions.count();
     }
 
-    /// The share to put in force before the next admission; none if it has not changed.
+    /// The share to put in force before the next admission; `None` if it has not changed.
     pub(super) fn changed_share(&mut self, now: Moment) -> Option<RateShare> {
         let share = RateShare {
             queries_per_second: self.shares.usable_rate(now),
--- a/crates/tansylead-daemon/src/root/supervisor.rs
+++ b/crates/tansylead-daemon/src/root/supervisor.rs
@@ -179,7 +179,11 @@
     fn start_or_configure(&mut self, key: PlacementKey, configuration: RootConfiguration) {
         let ended = |known: &SupervisedRoot| known.handle.has_ended();
         if self.supervised.get(&key).is_some_and(ended) {
-            log::error!("root for {} in {}: its task failed", key.service, key.place);
+            log::error!(
+                "root for {} in {}: ended by a fault",
+                key.service,
+                key.place
+            );
             self.supervised.remove(&key);
             self.parts.directory.roots.write().remove(&key);
         }
--- a/crates/tansylead-daemon/src/routing/routes.rs
+++ b/crates/tansylead-daemon/src/routing/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of all services that this daemon has been asked for.
+//! Routes of all services that were requested from this daemon.
 
 use super::service_routes::{RouteChoice, ServiceRoutes};
 use crate::clock::Clock;
@@ -35,7 +35,7 @@
     pub drain: CancellationToken,
 }
 
-/// Routes of all services that this daemon has been asked for.
+/// Routes of all services that were requested from this daemon.
 #[derive(Debug)]
 pub struct Routes {
     parts: RoutesParts,
@@ -81,7 +81,7 @@
         self.with_routes(service, |routes| routes.choose(now, hour, place, node))
     }
 
-    /// The serving set of a service in a place; none if it has no leafs there.
+    /// The serving set of a service in a place; `None` if it has no leafs there.
     pub fn serving_set(&self, key: &PlacementKey) -> Option<Arc<ServingSet>> {
         self.with_routes(&key.service, |routes| routes.set(&key.place))
     }
--- a/crates/tansylead-daemon/tests/platform_client.rs
+++ b/crates/tansylead-daemon/tests/platform_client.rs
@@ -1,4 +1,4 @@
-//! The store client's outcomes of a write, a lost answer among them.
+//! Outcomes that the store client reports for a write, also if the answer is lost.
 
 mod support;
 
--- a/crates/tansylead-daemon/tests/support/daemon.rs
+++ b/crates/tansylead-daemon/tests/support/daemon.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// A row for every hour: no limit in practice.
+/// A row for every hour, with a limit that is never reached in practice.
 fn table() -> TrafficTable {
     let row = TableRow {
         service: SERVICE.parse().expect("name"),
--- a/crates/tansylead-daemon/tests/support/http.rs
+++ b/crates/tansylead-daemon/tests/support/http.rs
@@ -4,7 +4,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
@@ -36,7 +36,7 @@
     parse(&text)
 }
 
-/// Splits a reply.
+/// Splits a reply into status, head and body.
 pub fn parse(text: &str) -> Reply {
     let (head, body) = text.split_once("\r\n\r\n").expect("head ends");
     let status = head
--- a/crates/tansylead-daemon/tests/support/mod.rs
+++ b/crates/tansylead-daemon/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small peers for tests: a leaf that follows a script, byte by byte, and a store.
+//! Test doubles and helpers: a scripted leaf, a store, a daemon and HTTP exchanges.
 #![allow(dead_code)]
 
 pub mod daemon;
--- a/crates/tansylead-daemon/tests/support/store.rs
+++ b/crates/tansylead-daemon/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory: the object API with compare-and-set, a watch and a lost-answer switch.
+//! A store in memory: the object API with compare-and-set, a watch and a switch that loses answers.
 
 use super::http::{json_reply, read_message};
 use parking_lot::Mutex;
