--- a/crates/tansylead-daemon/src/claims/acquire.rs
+++ b/crates/tansylead-daemon/src/claims/acquire.rs
@@ -95,7 +95,8 @@
     AcquireResult { decision, claim }
 }
 
-/// Tells the members that nothing was or will be dispatched under the grant. Loss is harmless.
+/// Tells the members that nothing was or will be dispatched under the grant. A lost message does no
+/// harm: the members drop the claim after its expiry.
 pub(super) fn release(claims: &Arc<Claims>, view: &ClaimView, grant: &ClaimGrant) {
     for request in release_requests(view, grant) {
         let claims = Arc::clone(claims);
--- a/crates/tansylead-daemon/src/cluster/view.rs
+++ b/crates/tansylead-daemon/src/cluster/view.rs
@@ -18,7 +18,7 @@
     /// Live members that do not answer probes: they stay in serving sets for a while, but get
     /// queries only if no other root is left.
     pub suspects: BTreeSet<NodeId>,
-    /// Whether joining is complete.
+    /// Whether this daemon has joined the cluster.
     pub joined: bool,
     candidates: BTreeMap<PlaceName, Arc<Vec<Candidate>>>,
 }
--- a/crates/tansylead-daemon/src/http/server.rs
+++ b/crates/tansylead-daemon/src/http/server.rs
@@ -112,10 +112,10 @@
         let now = self.clock.now();
         let idle_for = now.since(*self.last_request.lock());
         let connections = self.state.metrics().caller_connections.get();
-        let long_enough = now.since(drain_started) >= self.limits.drain_minimum;
-        let unused = connections == 0 || idle_for >= self.limits.drain_idle;
-        let forwarded = now.since(self.state.last_forwarded()) < self.limits.drain_idle;
-        long_enough && unused && !forwarded && self.state.queries_in_progress() == 0
+        let is_minimum_over = now.since(drain_started) >= self.limits.drain_minimum;
+        let is_idle = connections == 0 || idle_for >= self.limits.drain_idle;
+        let has_recent_forward = now.since(self.state.last_forwarded()) < self.limits.drain_idle;
+        is_minimum_over && is_idle && !has_recent_forward && self.state.queries_in_progress() == 0
     }
 
     async fn on_accept(&self, accepted: std::io::Result<(TcpStream, SocketAddr)>) {
--- a/crates/tansylead-daemon/src/peers/link.rs
+++ b/crates/tansylead-daemon/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! Client side of one connection to a peer.
+//! A link: the task that owns the client side of one connection to a peer.
 
 use super::codec::{MAXIMUM_FRAME_BYTES, decode_message, encode_message, hello_codec};
 use super::message::{
--- a/crates/tansylead-daemon/src/root/supervisor.rs
+++ b/crates/tansylead-daemon/src/root/supervisor.rs
@@ -185,6 +185,7 @@
                 key.place
             );
             self.supervised.remove(&key);
+            // `publish` compares only keys; without this it would keep the handle that has ended.
             self.parts.directory.roots.write().remove(&key);
         }
         if let Some(known) = self.supervised.get_mut(&key) {
--- a/crates/tansylead-daemon/src/root_service.rs
+++ b/crates/tansylead-daemon/src/root_service.rs
@@ -83,6 +83,7 @@
                     request.request.clone(),
                     deadline,
                 );
+                // The task outlives its caller, so it counts itself: a planned stop waits for it.
                 let in_progress = self.state.count_query();
                 let task = tokio::spawn(async move {
                     let _in_progress = in_progress;
